--- a/cactusridge/dispatch/__init__.py
+++ b/cactusridge/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Placing requests directly at upstreams, with what entries know."""
+"""Sends requests from entries directly to upstreams."""
--- a/cactusridge/dispatch/admission.py
+++ b/cactusridge/dispatch/admission.py
@@ -1,41 +1,42 @@
-"""Which online requests are refused because of the queue before them.
+"""Policies that refuse online requests when the queue is too long.
 
-Answers a load that exceeds the slots for a second or more: a replica
-admits in order of arrival, so whoever is let in beyond what can be on time
-makes all that follow late.
+They deal with loads that exceed the slots of the replicas for a second or
+more. A replica starts requests in order of arrival, so each admitted
+request that cannot be answered on time delays all requests behind it.
 """
 
 import abc
 
-# Share of the wait up to which an answer is on time that may be spent in
-# the replica's queue. The rest is prefill, the network and the error of
-# the estimate, which is one slot's release.
+# Share of the target latency that a request may spend in the replica's
+# queue. The rest covers prefill, the network and the error of the estimate,
+# which is the time for one slot to become free.
 QUEUE_SHARE = 0.7
 
 
 class Admission(abc.ABC):
-    """Says which requests are refused because of the queue before them."""
+    """Decides which requests are refused because of their expected wait."""
 
     @abc.abstractmethod
     def excess_s(self, wait_s: float, aim_s: float) -> float:
-        """Return by how much a wait is too long to be tried, in seconds.
+        """Return the time by which an expected wait is too long, in seconds.
 
-        0 or less for one that may be sent; ``aim_s`` is the wait up to
-        which the answer is on time.
+        The request may be sent if the result is 0 or less. ``wait_s`` is
+        the expected wait for a slot, ``aim_s`` the target latency up to
+        which an answer is on time; both are in seconds.
         """
 
 
 class InTime(Admission):
-    """Who would wait for over ``QUEUE_SHARE`` of the aim is refused."""
+    """Refuses waits longer than ``QUEUE_SHARE`` of the target latency."""
 
     def excess_s(self, wait_s: float, aim_s: float) -> float:
-        """Return what the wait has over the share."""
+        """Return the part of the wait beyond the allowed share."""
         return wait_s - QUEUE_SHARE * aim_s
 
 
-class Everybody(Admission):
-    """Naive: nobody is refused; the queue at the replica grows."""
+class AdmitAll(Admission):
+    """Naive policy: admits every request, so that queues can grow."""
 
     def excess_s(self, wait_s: float, aim_s: float) -> float:
-        """Return that any wait will do."""
+        """Return 0, since any wait is allowed."""
         return 0
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one call at replicas: choice, sending and time."""
+"""Makes attempts: chooses a replica, sends to it and limits the wait."""
 
 import random
 
@@ -8,12 +8,12 @@
 from cactusridge.dispatch.online_log import OnlineLog
 from cactusridge.dispatch.placement import (
     Choice,
-    consider,
     expected_wait_s,
-    silence_s,
+    select_candidates,
+    tolerated_silence_s,
 )
 from cactusridge.dispatch.policies import DispatchPolicies
-from cactusridge.dispatch.retries import NO_REPLICA_RETRY_S, may_go_again
+from cactusridge.dispatch.retries import NO_REPLICA_RETRY_S, may_retry
 from cactusridge.dispatch.returns import Refusal
 from cactusridge.dispatch.run import NotRun, Run, Runner
 from cactusridge.dispatch.upstream import (
@@ -35,7 +35,7 @@
 
 
 class Attempts:
-    """Makes the attempts of calls."""
+    """Makes single attempts at replicas on behalf of online calls."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         log: OnlineLog,
         policies: DispatchPolicies,
     ) -> None:
-        """Choose among ``fleet`` as seen from ``zone``."""
+        """Choose replicas from ``fleet`` for an entry in ``zone``."""
         self._fleet = fleet
         self._cells = cells
         self._runner = runner
@@ -58,7 +58,11 @@
         self._rng = random.Random()  # noqa: S311
 
     def choose(self, call: OnlineCall, progress: Progress) -> Replica:
-        """Return the replica for the next attempt; raise what refuses it."""
+        """Return the replica for the next attempt.
+
+        Raises NoReplica if the service has no ready replica, and
+        Overloaded if the expected wait at the best one is too long.
+        """
         service = self._service(call.route)
         ready = {
             replica.life: replica for replica in self._fleet.ready(service)
@@ -66,13 +70,13 @@
         fresh = set(ready) - set(progress.tried) or set(ready)
         if not fresh:
             raise NoReplica(
-                f'no replica of {service}',
+                f'no replica of {service} is ready',
                 retry_after_s=NO_REPLICA_RETRY_S,
             )
         allowed = self._runner.health.allowed(ready) & fresh
         loads = self._runner.loads
         near = self._cells.of_service(service).near
-        compared = consider(
+        compared = select_candidates(
             allowed or fresh,
             near,
             loads.offered(),
@@ -92,7 +96,11 @@
         progress: Progress,
         req: UpstreamRequest,
     ) -> Run:
-        """Send a request; raise ConnectFailed or OutcomeUnknown."""
+        """Send ``req`` to ``replica`` and return the run.
+
+        Raises ConnectFailed if the replica could not be reached, and
+        OutcomeUnknown if the connection broke while sending.
+        """
         progress.tried.append(replica.life)
         left_s = call.deadline_at - self._clock.monotonic()
         try:
@@ -101,8 +109,8 @@
                 req,
                 WorkKind.online,
                 left_s,
-                # Whatever silenced one kept connection may have silenced
-                # those to other replicas, and attempts are few.
+                # A fault that broke one pooled connection may have broken
+                # those to other replicas too, and attempts are limited.
                 fresh=progress.may_have_run > 0,
             )
         except OutcomeUnknown:
@@ -118,11 +126,16 @@
         run: Run,
         progress: Progress,
     ) -> UpstreamHead:
-        """Return the head; until it is known not to have run, it may have."""
+        """Wait for the head of the answer and return it.
+
+        The request counts as one that may have run unless the replica
+        reports that it did not run it. Raises UpstreamSilent if the
+        replica sends nothing in time, and what ``Run.head`` raises.
+        """
         progress.may_have_run += 1
         limit_s = None
-        if may_go_again(call, progress):
-            limit_s = silence_s(
+        if may_retry(call, progress):
+            limit_s = tolerated_silence_s(
                 self._runner.loads.at(run.replica.life),
                 run.replica.slots,
                 call.route.aim_s,
@@ -133,17 +146,20 @@
             progress.may_have_run -= 1
             raise
         except UpstreamSilent:
-            # At the deadline it may just be long work; only a wait that
-            # was cut short to go elsewhere speaks against the replica.
+            # A run that reaches its deadline may simply be long. Only a
+            # wait that was limited to allow a retry at another replica
+            # counts as a failure of the replica.
             if limit_s is not None:
                 run.failed()
             raise
 
     def check(self, call: OnlineCall, progress: Progress) -> None:
-        """Return if the call may go to a replica now, else raise.
+        """Return if the call may be sent to a replica now, else raise.
 
-        The caller is there, the request is not held back, and there is
-        time left.
+        Raises CallerGone if the caller has disconnected, Quarantined if
+        the request is quarantined, what the permit raises, and at the
+        deadline DeadlineExceeded, or Overloaded if the request has not
+        run.
         """
         if call.caller.gone:
             raise CallerGone
@@ -153,36 +169,40 @@
             return
         if progress.may_have_run:
             raise DeadlineExceeded
-        raise Overloaded('no replica took it in time')
+        raise Overloaded('no replica accepted the request in time')
 
     def wait_s(self, call: OnlineCall, limit_s: float | None) -> float:
-        """Return how long to wait for bytes; raise when time is up."""
+        """Return how long to wait for the next bytes, in seconds.
+
+        The wait ends at the call's deadline, and after ``limit_s`` if
+        that is given. Raises DeadlineExceeded after the deadline.
+        """
         left_s = call.deadline_at - self._clock.monotonic()
         if left_s <= 0:
             raise DeadlineExceeded
         return left_s if limit_s is None else min(left_s, limit_s)
 
-    def note_hold(self, replica: Replica, begun_at: float) -> None:
-        """Note how long a request that has ended held its slot."""
+    def record_slot_time(self, replica: Replica, begun_at: float) -> None:
+        """Record how long a completed request occupied its slot."""
         held_s = self._clock.monotonic() - begun_at
-        self._runner.hold(replica.service).ended(held_s)
+        self._runner.slot_time(replica.service).ended(held_s)
 
     def _check_wait(self, call: OnlineCall, best: Choice) -> None:
-        """Return if a call may wait at its best replica, else refuse it."""
-        hold = self._runner.hold(best.replica.service)
-        wait_s = expected_wait_s(best, hold.mean_s)
+        """Raise Overloaded if the expected wait at ``best`` is too long."""
+        slot_time = self._runner.slot_time(best.replica.service)
+        wait_s = expected_wait_s(best, slot_time.mean_s)
         excess_s = self._policies.admission.excess_s(wait_s, call.route.aim_s)
         if excess_s <= 0:
             return
         left_s = call.deadline_at - self._clock.monotonic()
         refusal = Refusal(excess_s, left_s)
         raise Overloaded(
-            f'{wait_s:.3f} s to wait',
+            f'the expected wait is {wait_s:.3f} s',
             retry_after_s=self._policies.returns.after_s(refusal),
         )
 
     def _service(self, route: Route) -> str:
-        """Return a service of the route, by the weights of its split."""
+        """Return one of the route's services, drawn by their weights."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
--- a/cactusridge/dispatch/caller.py
+++ b/cactusridge/dispatch/caller.py
@@ -1,36 +1,43 @@
-"""Whether the caller of a request still waits."""
+"""Detects that the caller of a request has disconnected."""
 
 import abc
 from collections.abc import Callable
 
 
 class CallerWatch(abc.ABC):
-    """Tells when a caller has left."""
+    """Tracks whether a caller has disconnected.
+
+    ``gone`` is True from the time of the disconnect.
+    """
 
     def __init__(self) -> None:
-        """Start with a caller that waits."""
+        """Start with a connected caller."""
         self.gone = False
         self._on_gone: Callable[[], None] | None = None
 
     def call_when_gone(self, action: Callable[[], None] | None) -> None:
-        """Do ``action`` once when the caller leaves; None: nothing."""
+        """Set the function to call when the caller disconnects.
+
+        It replaces the function set before; None removes that one. If
+        the caller has already disconnected, ``action`` is called at once.
+        """
         self._on_gone = action
         if self.gone and action is not None:
             action()
 
     def note_gone(self) -> None:
-        """Note that the caller has left."""
+        """Record that the caller has disconnected and call the action."""
         self.gone = True
         if self._on_gone is not None:
             self._on_gone()
 
     @abc.abstractmethod
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop watching the caller."""
 
 
-class PatientCaller(CallerWatch):
-    """A caller that never leaves, such as a batch job."""
+class AlwaysConnectedCaller(CallerWatch):
+    """Watches a caller that never disconnects, such as a batch job."""
 
     def stop(self) -> None:
-        """There is nothing to stop."""
+        """Do nothing."""
--- a/cactusridge/dispatch/catalog.py
+++ b/cactusridge/dispatch/catalog.py
@@ -1,4 +1,4 @@
-"""The operators' configuration of routes, as the dispatcher reads it."""
+"""The route configuration written by operators."""
 
 import enum
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated on a route, and how answers come."""
+    """The kind of a route: whether requests may be repeated or are streamed."""
 
     idempotent = 'idempotent'
     once = 'non_idempotent'
@@ -17,7 +17,7 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service and its weight among those that a route is split over."""
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -26,12 +26,13 @@
 class Route(NamedTuple):
     """One route; all times are in seconds.
 
-    ``timeout_s`` bounds a request from arrival to its end, ``aim_s`` is
-    the wait up to which an answer is on time, ``attempts`` how many
-    replicas one request may run on. ``due_s`` and ``give_up_s`` count
-    from the submission of a batch job: when its results are due and
-    when an unfinished item may be given up. Callers of a ``public`` one
-    need no key.
+    ``timeout_s`` limits the time from the arrival of a request to the end
+    of its answer. ``aim_s`` is the target latency: an answer that starts
+    within it is on time. ``attempts`` is the number of replicas on which
+    one request may run. ``due_s`` and ``give_up_s`` count from the
+    submission of a batch job: the results are due after ``due_s``, and an
+    unfinished item may be abandoned after ``give_up_s``. Callers of a
+    ``public`` route need no API key.
     """
 
     name: str
@@ -57,7 +58,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send: bytes and seconds."""
+    """Limits on the requests of callers, in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -66,9 +67,9 @@
 
 
 class Catalog(NamedTuple):
-    """One version of the configuration; versions only grow.
+    """One version of the configuration; version numbers only increase.
 
-    Without ``organisations`` nobody needs a key.
+    If ``organisations`` is None, no caller needs an API key.
     """
 
     version: int
@@ -77,7 +78,7 @@
     organisations: Directory | None = None
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest fitting prefix."""
+        """Return the route of ``host`` with the longest prefix of ``path``."""
         found = [
             route
             for route in self.routes
--- a/cactusridge/dispatch/claims.py
+++ b/cactusridge/dispatch/claims.py
@@ -1,11 +1,12 @@
-"""Which entry gets a batch slot that several want at the same time.
-
-Answers slots that come free while more than one entry has items waiting:
-all hear of one within a few milliseconds, and each would send an item.
-The replica runs one, the others are cut again, each after its prompt was
-read for nothing and its connection lost. So an entry first tells its
-peers that it claims the slot, waits until their claims must have come,
-and sends only if its claim is among those that every entry finds kept.
+"""Decides which entry gets a batch slot that several entries want.
+
+When a slot becomes free while several entries have items waiting, all of
+them learn of it within a few milliseconds, and each would send an item.
+The replica would run one of them; the others would be preempted after
+their prompts had been processed in vain, and their connections lost. So an
+entry first broadcasts to its peers that it claims the slot, waits until
+the claims of its peers must have arrived, and sends the item only if its
+claim is granted. All entries compute the granted claims by the same rule.
 """
 
 import abc
@@ -15,24 +16,27 @@
 from cactusridge.hashing import hash64, rendezvous
 from cactusridge.peers.load import Load
 
-# How long a claim waits for others, in seconds: the longest way between
-# entries (1.4 ms) and two turns of a busy event loop (2 ms each). An
-# item runs for seconds.
-CLAIM_S = 0.006
-# In large fleets, whose entries may have a fifth of the processor.
-FAR_CLAIM_S = 0.015
+# Time from a claim to its decision, in seconds: the longest latency between
+# entries (1.4 ms) and two iterations of a busy event loop (2 ms each). The
+# wait is short compared with the seconds for which an item runs.
+CLAIM_WAIT_S = 0.006
+# The same time in fleets of several cells, whose entries may get only a
+# fifth of a processor each.
+LARGE_FLEET_CLAIM_WAIT_S = 0.015
 
 
-def claims_kept(
+def granted_claims(
     slots: int,
     life: str,
     loads: Mapping[str, Load],
 ) -> Counter[str]:
-    """Return by entry how many of its claims on a replica are kept.
+    """Return the number of granted claims on a replica by entry name.
 
-    ``loads`` has each entry's requests and claims there. Each entry's
-    first claim goes before anybody's second; between equals the order
-    differs from replica to replica, so that no entry is always last.
+    ``life`` is the key of the replica's incarnation; ``loads`` maps each
+    entry to its requests and claims at the replica. The first claim of
+    each entry precedes the second claim of any entry. Among claims of
+    equal rank the order of the entries differs between replicas, so that
+    no entry is always last.
     """
     free = slots - sum(load.total for load in loads.values())
     order = rendezvous(loads, hash64(life))
@@ -47,13 +51,13 @@
 
 
 class ClaimRule(abc.ABC):
-    """Decides which of the entries that want a slot gets it."""
+    """Decides which of the entries that claim a slot may use it."""
 
     @abc.abstractmethod
     def wait_s(self, large: bool) -> float:
-        """Return how long a claim waits for others, in seconds.
+        """Return the time from a claim to its decision, in seconds.
 
-        ``large`` is whether the fleet has several cells.
+        ``large`` is True if the fleet has several cells.
         """
 
     @abc.abstractmethod
@@ -64,15 +68,19 @@
         life: str,
         loads: Mapping[str, Load],
     ) -> bool:
-        """Tell whether a claim of ``entry`` on a replica is kept."""
+        """Return whether a claim of ``entry`` on a replica is granted.
+
+        ``life`` is the key of the replica's incarnation; ``loads`` maps
+        each entry to its requests and claims at the replica.
+        """
 
 
 class ToldClaims(ClaimRule):
-    """Entries tell their claims and decide alike; see ``claims_kept``."""
+    """Grants the claims that ``granted_claims`` returns at every entry."""
 
     def wait_s(self, large: bool) -> float:
-        """Return the time in which all claims must have come."""
-        return FAR_CLAIM_S if large else CLAIM_S
+        """Return the time in which the claims of all peers must arrive."""
+        return LARGE_FLEET_CLAIM_WAIT_S if large else CLAIM_WAIT_S
 
     def keeps(
         self,
@@ -81,15 +89,18 @@
         life: str,
         loads: Mapping[str, Load],
     ) -> bool:
-        """Tell whether it is among those that everybody finds kept."""
-        return claims_kept(slots, life, loads)[entry] > 0
+        """Return whether at least one claim of ``entry`` is granted."""
+        return granted_claims(slots, life, loads)[entry] > 0
 
 
 class NoClaims(ClaimRule):
-    """Naive: whoever sees a free slot takes it; yielding sorts it out."""
+    """Naive rule: grants every claim.
+
+    Surplus items are preempted at the replica afterwards.
+    """
 
     def wait_s(self, large: bool) -> float:
-        """Return that there is nothing to wait for."""
+        """Return 0, since no claims of peers are awaited."""
         return 0
 
     def keeps(
@@ -99,5 +110,5 @@
         life: str,
         loads: Mapping[str, Load],
     ) -> bool:
-        """Tell that it is kept."""
+        """Return True."""
         return True
--- a/cactusridge/dispatch/crash_watch.py
+++ b/cactusridge/dispatch/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether replicas that broke runs off have crashed."""
+"""Detects whether replicas with interrupted runs have crashed."""
 
 from typing import NamedTuple
 
@@ -9,50 +9,53 @@
 from cactusridge.quarantine.strike import Stage
 from cactusridge.quarantine.suspects import Suspects
 
-# From a broken connection to the question whether its replica lives, in
-# seconds: a process that ends closes its connections one by one.
-PROBE_AFTER_S = 0.01
-# And after a run that was given up: its replica may end just then.
-LEFT_AFTER_S = 0.2
+# Delay in seconds from a broken connection to the probe of its replica.
+# A process that ends closes its connections one by one, not all at once.
+BROKEN_PROBE_DELAY_S = 0.01
+# Delay in seconds from an abandoned run to the probe of its replica, which
+# may be about to crash at that time.
+ABANDONED_PROBE_DELAY_S = 0.2
 
 
-class BrokenRun(NamedTuple):
-    """A run that broke off: of which request, and how far it had come."""
+class InterruptedRun(NamedTuple):
+    """The request fingerprint and the stage of an interrupted run."""
 
     fingerprint: str
     stage: Stage
 
 
 class CrashWatch:
-    """Notes runs that broke off, or fell silent, since their replica ended.
+    """Records runs that were interrupted because their replica crashed.
 
-    Neither says so by itself: one that is still at its address lives.
+    A broken connection or a silent replica is no proof of a crash, so the
+    replica is probed. If the same incarnation is still reachable at its
+    address, it has not crashed.
     """
 
     def __init__(self, upstream: Upstream, suspects: Suspects) -> None:
-        """Ask through ``upstream``, tell ``suspects``."""
+        """Probe through ``upstream`` and report crashes to ``suspects``."""
         self._upstream = upstream
         self._suspects = suspects
-        self._broken: dict[str, list[BrokenRun]] = {}
+        self._broken: dict[str, list[InterruptedRun]] = {}
 
-    def broke_off(self, replica: Replica, run: BrokenRun) -> None:
-        """Take a run whose connection broke."""
-        self._probe_later(PROBE_AFTER_S, replica, run)
+    def connection_broken(self, replica: Replica, run: InterruptedRun) -> None:
+        """Check the replica of a run whose connection broke."""
+        self._probe_later(BROKEN_PROBE_DELAY_S, replica, run)
 
-    def given_up(self, replica: Replica, run: BrokenRun) -> None:
-        """Take a run that was given up when nothing came.
+    def run_abandoned(self, replica: Replica, run: InterruptedRun) -> None:
+        """Check the replica of a run abandoned because nothing arrived.
 
-        A replica whose host is gone ends without a word.
+        A replica whose host has failed does not close its connections.
         """
-        self._probe_later(LEFT_AFTER_S, replica, run)
+        self._probe_later(ABANDONED_PROBE_DELAY_S, replica, run)
 
     def _probe_later(
         self,
         pause_s: float,
         replica: Replica,
-        run: BrokenRun,
+        run: InterruptedRun,
     ) -> None:
-        """Ask whether a replica lives, once for runs that end together."""
+        """Schedule one probe for all runs interrupted at the same time."""
         broken = self._broken.setdefault(replica.life, [])
         broken.append(run)
         if len(broken) == 1:
--- a/cactusridge/dispatch/event_splitter.py
+++ b/cactusridge/dispatch/event_splitter.py
@@ -1,14 +1,18 @@
-"""Cuts a stream into whole events and knows the id of the last one."""
+"""Splits a stream into complete server-sent events."""
 
 from typing import NamedTuple
 
-END = b'\n\n'
+EVENT_END = b'\n\n'
 ID_FIELD = b'id:'
 DATA_FIELD = b'data:'
 
 
 class StreamEvent(NamedTuple):
-    """One event: its bytes with the blank line, its id and its data."""
+    """A server-sent event.
+
+    ``raw`` holds the bytes of the event with the blank line that ends
+    it; ``payload`` holds its data lines joined by newlines.
+    """
 
     raw: bytes
     id: str | None
@@ -16,38 +20,39 @@
 
 
 class EventSplitter:
-    """Keeps what is not yet a whole event.
+    """Buffers received bytes until they form complete events.
 
-    An upstream may stop in the middle of an event. Only whole events
-    are handed on, so that the stream can go on elsewhere after them.
+    An upstream may stop in the middle of an event. Only complete events
+    are returned, so that another replica can resume the stream after
+    the last one, whose id is ``last_id``.
     """
 
     def __init__(self, last_id: str | None = None) -> None:
-        """Start after the event ``last_id``."""
+        """Begin a stream that follows the event with the id ``last_id``."""
         self.last_id = last_id
-        self._rest = b''
+        self._buffer = b''
 
     @property
     def pending(self) -> bool:
-        """Whether part of an event has come."""
-        return bool(self._rest)
+        """Whether part of an event has been received."""
+        return bool(self._buffer)
 
     def feed(self, received: bytes) -> list[StreamEvent]:
         """Return the events that ``received`` completes."""
-        whole = (self._rest + received).split(END)
-        self._rest = whole.pop()
-        found = [parse_event(raw + END) for raw in whole]
+        whole = (self._buffer + received).split(EVENT_END)
+        self._buffer = whole.pop()
+        found = [parse_event(raw + EVENT_END) for raw in whole]
         for event in found:
             self.last_id = event.id or self.last_id
         return found
 
-    def restart(self) -> None:
-        """Drop the part of an event that came before a break."""
-        self._rest = b''
+    def discard_partial(self) -> None:
+        """Discard the incomplete event received before a stream broke."""
+        self._buffer = b''
 
 
 def parse_event(raw: bytes) -> StreamEvent:
-    """Return the event in ``raw``, as server-sent events have it."""
+    """Parse the server-sent event in ``raw``."""
     event_id = None
     lines = []
     for line in raw.split(b'\n'):
--- a/cactusridge/dispatch/online.py
+++ b/cactusridge/dispatch/online.py
@@ -1,4 +1,4 @@
-"""Answers online requests, over as many attempts as are allowed."""
+"""Answers online requests, with retries at other replicas."""
 
 from cactusridge import metrics
 from cactusridge.clock import Clock
@@ -7,8 +7,8 @@
 from cactusridge.dispatch.online_call import Answer, OnlineCall, Progress
 from cactusridge.dispatch.online_log import OnlineLog
 from cactusridge.dispatch.policies import DispatchPolicies
-from cactusridge.dispatch.retries import check_retry, may_go_again
-from cactusridge.dispatch.run import SERVER_FAULT, Run, Runner, is_success
+from cactusridge.dispatch.retries import check_retry, may_retry
+from cactusridge.dispatch.run import SERVER_ERROR, Run, Runner, is_success
 from cactusridge.dispatch.streams import Streams
 from cactusridge.dispatch.upstream import UpstreamHead
 from cactusridge.errors import CactusridgeError, UpstreamFailed
@@ -18,7 +18,7 @@
 
 
 class OnlineDispatcher:
-    """Sends each call to a replica, and to another where that is safe."""
+    """Sends each call to a replica and retries at another if that is safe."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         clock: Clock,
         policies: DispatchPolicies,
     ) -> None:
-        """Choose among ``fleet`` as seen from ``zone``."""
+        """Choose replicas from ``fleet`` for an entry in ``zone``."""
         self._log = OnlineLog(runner.loads, clock)
         self._attempts = Attempts(
             fleet,
@@ -43,7 +43,12 @@
         self._streams = Streams(self._attempts, clock, self._log)
 
     def answer(self, call: OnlineCall) -> Answer:
-        """Return the answer; raise what the caller is to be told instead."""
+        """Return the answer to a call.
+
+        Raises the CactusridgeError to be sent to the caller if there is
+        no answer. Its ``not_run`` is True only if the request cannot have
+        run, and the count against the organisation's limit is then undone.
+        """
         progress = Progress()
         try:
             return self._answer(call, progress)
@@ -73,33 +78,37 @@
     ) -> Answer:
         run = self._attempts.open(call, replica, progress, call.req)
         try:
-            return self._answer_of(call, run, progress)
+            return self._read_answer(call, run, progress)
         except BaseException:
             run.close()
             raise
 
-    def _answer_of(
+    def _read_answer(
         self,
         call: OnlineCall,
         run: Run,
         progress: Progress,
     ) -> Answer:
         head = self._attempts.head(call, run, progress)
-        if self._wants_another(call, head, progress):
+        if self._should_retry(call, head, progress):
             raise UpstreamFailed(f'{run.replica.id} answered {head.status}')
         self._log.answered(call, run.replica)
         if call.route.kind == RouteKind.stream and is_success(head.status):
-            body = self._streams.passed_on(call, run, progress)
+            body = self._streams.relay(call, run, progress)
             return Answer(head.status, head.headers, body)
         begun_at = call.arrived_at
-        whole = self._whole(call, run)
+        whole = self._read_body(call, run)
         run.survived()
-        self._attempts.note_hold(run.replica, begun_at)
+        self._attempts.record_slot_time(run.replica, begun_at)
         run.close()
         return Answer(head.status, head.headers, [whole])
 
-    def _whole(self, call: OnlineCall, run: Run) -> bytes:
-        """Return the whole body, so that a broken one is passed to nobody."""
+    def _read_body(self, call: OnlineCall, run: Run) -> bytes:
+        """Return the complete body.
+
+        No part of it is sent before it is complete, so that the caller
+        never receives a truncated body.
+        """
         parts = []
         while True:
             part = run.read(self._attempts.wait_s(call, None))
@@ -107,11 +116,11 @@
                 return b''.join(parts)
             parts.append(part)
 
-    def _wants_another(
+    def _should_retry(
         self,
         call: OnlineCall,
         head: UpstreamHead,
         progress: Progress,
     ) -> bool:
-        failed = head.status >= SERVER_FAULT
-        return failed and may_go_again(call, progress)
+        failed = head.status >= SERVER_ERROR
+        return failed and may_retry(call, progress)
--- a/cactusridge/dispatch/online_call.py
+++ b/cactusridge/dispatch/online_call.py
@@ -1,4 +1,4 @@
-"""An online request on its way through the dispatcher."""
+"""The state of an online request in the dispatcher."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -10,7 +10,11 @@
 
 
 class OnlineCall(NamedTuple):
-    """A caller's request; ``deadline_at`` is on the dispatcher's clock."""
+    """A caller's request.
+
+    ``arrived_at`` and ``deadline_at`` are in seconds on the monotonic
+    clock of the dispatcher.
+    """
 
     req: UpstreamRequest
     route: Route
@@ -21,7 +25,11 @@
 
 
 class Answer(NamedTuple):
-    """What the caller gets; ``body`` raises when it cannot be whole."""
+    """The answer for the caller.
+
+    If ``body`` is an iterator, it raises a CactusridgeError when the
+    answer cannot be completed.
+    """
 
     status: int
     headers: HeaderList
@@ -29,10 +37,15 @@
 
 
 class Progress:
-    """What has been tried for one call."""
+    """The attempts made for one call.
+
+    ``tried`` lists the incarnations of replicas in the order of the
+    attempts. ``may_have_run`` counts the attempts that may have run the
+    request, ``rejections`` those rejected before it ran.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing tried."""
+        """Start with no attempts."""
         self.tried: list[str] = []
         self.may_have_run = 0
-        self.turned_away = 0
+        self.rejections = 0
--- a/cactusridge/dispatch/online_log.py
+++ b/cactusridge/dispatch/online_log.py
@@ -1,4 +1,4 @@
-"""What is logged of an online request: each decision with its inputs."""
+"""Logs each decision about an online request with its inputs."""
 
 from cactusridge import events, logs, metrics
 from cactusridge.clock import Clock
@@ -12,10 +12,10 @@
 
 
 class OnlineLog:
-    """Writes the events of online requests."""
+    """Writes the log events of online requests."""
 
     def __init__(self, loads: LoadTable, clock: Clock) -> None:
-        """Tell the counts in ``loads`` and times by ``clock``."""
+        """Log the counts in ``loads`` and the times of ``clock``."""
         self._loads = loads
         self._clock = clock
 
@@ -26,7 +26,7 @@
         replica: Replica,
         req: UpstreamRequest,
     ) -> None:
-        """Tell where a request goes and what decided it."""
+        """Log the replica chosen for a request and the inputs of the choice."""
         load = self._loads.at(replica.life)
         logs.emit(
             events.REQUEST_PLACED,
@@ -43,7 +43,7 @@
         )
 
     def answered(self, call: OnlineCall, replica: Replica) -> None:
-        """Tell that an answer has begun."""
+        """Log the start of an answer and record the time to first byte."""
         took_s = self._clock.monotonic() - call.arrived_at
         metrics.TTFT.observe({'service': replica.service}, took_s)
         logs.emit(
@@ -60,13 +60,13 @@
         splitter: EventSplitter,
         exc: CactusridgeError,
     ) -> None:
-        """Tell where a stream broke."""
+        """Log that a stream broke, and after which event."""
         logs.emit(
             events.STREAM_BROKEN,
             request=call.req.id,
             replica=run.replica.id,
             after_event=splitter.last_id,
-            ran_s=round(run.lasted_s(), 4),
+            ran_s=round(run.elapsed_s(), 4),
             resumable=call.route.resumable,
             caller_gone=call.caller.gone,
             cause=exc.code,
@@ -79,7 +79,7 @@
         progress: Progress,
         exc: CactusridgeError,
     ) -> None:
-        """Tell why a caller gets no answer."""
+        """Log the error that a caller gets instead of an answer."""
         now = self._clock.monotonic()
         logs.emit(
             events.REQUEST_FAILED,
--- a/cactusridge/dispatch/placement.py
+++ b/cactusridge/dispatch/placement.py
@@ -1,8 +1,9 @@
-"""Which replica a request goes to, and when it is refused instead.
+"""Chooses the replica for an online request and estimates its wait.
 
-Answers a load that exceeds the slots for a second or more, with requests
-that hold a slot for about a second each. A replica admits in order of
-arrival, so what is sent to a full one waits behind what is there.
+The rules deal with loads that exceed the slots of the replicas for a
+second or more, and with requests that hold a slot for about a second each.
+A replica starts requests in order of arrival, so a request sent to a full
+replica waits behind those already there.
 """
 
 import abc
@@ -13,25 +14,28 @@
 from cactusridge.fleet.replica import Replica
 from cactusridge.peers.load import Load
 
-# Until a service has answered something: seconds a request holds a slot.
-FIRST_GUESS_S = 0.5
-# Weight of the newest request in the mean time that one holds a slot.
-HOLD_WEIGHT = 0.05
-# Silence after which a request that may be repeated goes elsewhere: the
-# wait up to which its answer is on time, but not less than this many
-# seconds, ten times the longest way between availability zones.
+# Assumed time in seconds that a request holds a slot, until a service has
+# completed its first request.
+INITIAL_SLOT_TIME_S = 0.5
+# Weight of the newest request in the moving average of slot times.
+SLOT_TIME_WEIGHT = 0.05
+# The shortest silence, in seconds, after which a repeatable request is
+# retried at another replica; otherwise the target latency is the limit. It
+# is ten times the longest latency between availability zones.
 MIN_SILENCE_S = 0.2
-# And this many times longer behind a queue, which explains the silence:
-# to go elsewhere would be to queue again, with the first place lost.
-QUEUED_SILENCE = 3
-# Replicas of other cells compared where nothing else can be chosen.
-FEW = 3
+# Factor for that silence at a replica with a queue. The queue explains the
+# silence, and after a retry the request would join the end of another queue.
+QUEUED_SILENCE_FACTOR = 3
+# Number of replicas of remote cells to compare when neither local nor
+# offered replicas can be chosen.
+RANDOM_CANDIDATES = 3
 
 
 class Choice(NamedTuple):
-    """A replica that may be chosen and what is known to be there.
+    """A replica that may be chosen, with its load.
 
-    At one that is not ``near`` that is this entry's own requests.
+    ``near`` is True for a replica in the local cell. The load of a replica
+    in a remote cell may include only this entry's own requests.
     """
 
     replica: Replica
@@ -40,59 +44,63 @@
 
     @property
     def queue(self) -> int:
-        """How many releases an online request would wait for at least."""
+        """The least number of slots to become free before a request starts."""
         return max(0, self.load.online - self.replica.slots + 1)
 
 
-class HoldTime:
-    """The mean time a request holds a slot, in seconds."""
+class SlotTime:
+    """The moving average of the time a request holds a slot, in seconds."""
 
     def __init__(self) -> None:
-        """Start from a guess."""
-        self.mean_s = FIRST_GUESS_S
+        """Start from the assumed time."""
+        self.mean_s = INITIAL_SLOT_TIME_S
 
     def ended(self, held_s: float) -> None:
-        """Take in one request that held a slot for ``held_s``."""
-        self.mean_s += HOLD_WEIGHT * (held_s - self.mean_s)
+        """Add a request that held a slot for ``held_s`` seconds."""
+        self.mean_s += SLOT_TIME_WEIGHT * (held_s - self.mean_s)
 
 
 def expected_wait_s(choice: Choice, hold_s: float) -> float:
-    """Return how long an online request would wait for a slot.
+    """Return the expected wait of an online request for a slot, in seconds.
 
-    Batch requests do not count: they yield to it. With ``slots`` in use
-    one comes free every ``hold_s / slots`` seconds.
+    Batch requests are not counted, since they are preempted by online
+    ones. When all slots are in use, one becomes free every
+    ``hold_s / slots`` seconds.
     """
     return choice.queue * hold_s / max(1, choice.replica.slots)
 
 
-def consider(
+def select_candidates(
     lives: Set[str],
     near: Set[str],
     offered: Set[str],
     rng: random.Random,
 ) -> Set[str]:
-    """Return the replicas to compare: near ones and those offered.
+    """Return the incarnations of replicas to compare.
 
-    Without any of them a few at random: by the same little knowledge
-    every entry would take the same one.
+    These are the replicas in ``lives`` that belong to the local cell
+    (``near``) or that remote cells offer (``offered``). If there are none,
+    RANDOM_CANDIDATES replicas are drawn at random. Otherwise all entries,
+    which share the same scarce information, would choose the same replica.
     """
     known = lives & (near | offered)
     if known:
         return known
-    return set(rng.sample(sorted(lives), min(FEW, len(lives))))
+    return set(rng.sample(sorted(lives), min(RANDOM_CANDIDATES, len(lives))))
 
 
-def choose(
+def choose_least_online(
     choices: Sequence[Choice],
     zone: str,
     rng: random.Random,
 ) -> Choice:
-    """Return the choice with the least online work by its slots.
+    """Return the choice with the shortest queue of online requests.
 
-    Among equals one of the own cell, whose bytes do not cross availability
-    zones; then the one with the fewest requests in all, so that batch work
-    is disturbed last; then one in ``zone``; then any, so that entries do
-    not all pick the same.
+    Ties are broken in this order: a replica in the local cell, whose
+    traffic does not cross availability zones; the fewest requests per
+    slot, online and batch, so that batch work is preempted only if
+    necessary; a replica in ``zone``; a random one, so that entries do not
+    all choose the same replica.
     """
     ranked = [
         (
@@ -108,13 +116,14 @@
     return choices[min(ranked)[-1]]
 
 
-def silence_s(load: Load, slots: int, aim_s: float) -> float:
-    """Return how long a replica's silence is no reason to go elsewhere.
+def tolerated_silence_s(load: Load, slots: int, aim_s: float) -> float:
+    """Return the silence to tolerate before a retry, in seconds.
 
-    ``load`` counts the request itself.
+    ``load`` includes the request itself; ``aim_s`` is the target latency
+    in seconds.
     """
     usual_s = max(MIN_SILENCE_S, aim_s)
-    return usual_s * QUEUED_SILENCE if load.online > slots else usual_s
+    return usual_s * QUEUED_SILENCE_FACTOR if load.online > slots else usual_s
 
 
 class Placing(abc.ABC):
@@ -127,11 +136,11 @@
         zone: str,
         rng: random.Random,
     ) -> Choice:
-        """Return one of ``choices``, of which there is at least one."""
+        """Return one of ``choices``, which is not empty."""
 
 
 class LeastOnline(Placing):
-    """The least online work by slots; see ``choose``."""
+    """Chooses the replica by ``choose_least_online``."""
 
     def choose(
         self,
@@ -139,12 +148,12 @@
         zone: str,
         rng: random.Random,
     ) -> Choice:
-        """Return the choice with the least online work."""
-        return choose(choices, zone, rng)
+        """Return the choice with the shortest queue of online requests."""
+        return choose_least_online(choices, zone, rng)
 
 
 class AnyReplica(Placing):
-    """Naive: any replica, whatever is there."""
+    """Naive policy: chooses a random replica regardless of its load."""
 
     def choose(
         self,
--- a/cactusridge/dispatch/policies.py
+++ b/cactusridge/dispatch/policies.py
@@ -1,13 +1,13 @@
-"""The decisions on online requests that the start settings name."""
+"""Builds the online dispatch policies named in the start settings."""
 
 import random
 from types import MappingProxyType
 from typing import NamedTuple
 
 from cactusridge.clock import Clock
-from cactusridge.dispatch.admission import Admission, Everybody, InTime
+from cactusridge.dispatch.admission import Admission, AdmitAll, InTime
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline, Placing
-from cactusridge.dispatch.returns import AfterBurst, NextSlot, Returns
+from cactusridge.dispatch.returns import AfterBurst, NextSlot, RetryAfterPolicy
 from cactusridge.peers.cell_rules import ByZone, CellRule, OneCell
 from cactusridge.routing.outliers import (
     OutlierDetector,
@@ -16,31 +16,37 @@
 )
 from cactusridge.startup.models import DirectPolicy
 
-# A replica that broke off or fell silent is out of choice for this long,
-# in seconds, doubled by each failure that follows: one that is gone is
-# missed by the list of replicas for seconds, one that broke off once is
-# soon back. An answer of 500 may be the request's fault: two in a row.
+# A replica whose connection broke or that stopped responding is ejected
+# for EJECT_FIRST_S seconds, and twice as long after each further failure,
+# up to EJECT_MOST_S. The list of replicas may still contain a stopped
+# replica for several seconds, while a replica with one broken connection
+# is usually usable again soon. A status of 500 may be caused by the request
+# itself, so it takes EJECT_FAILURES of them in a row.
 EJECT_FAILURES = 2
 EJECT_FIRST_S = 0.4
 EJECT_MOST_S = 4.0
 
 PLACINGS = MappingProxyType({'least_online': LeastOnline, 'any': AnyReplica})
-ADMISSIONS = MappingProxyType({'in_time': InTime, 'everybody': Everybody})
+ADMISSIONS = MappingProxyType({'in_time': InTime, 'everybody': AdmitAll})
 
 CELL_RULES = MappingProxyType({'by_zone': ByZone, 'one': OneCell})
 
 
 class DispatchPolicies(NamedTuple):
-    """Which replica, who is refused, and when they are to come back."""
+    """The policies for online requests.
+
+    ``placing`` chooses the replica, ``admission`` refuses requests, and
+    ``returns`` computes the retry delay of refused callers.
+    """
 
     placing: Placing
     admission: Admission
-    returns: Returns
+    returns: RetryAfterPolicy
 
 
 def make_policies(names: DirectPolicy) -> DispatchPolicies:
-    """Return the decisions that ``names`` chooses."""
-    returns: Returns = AfterBurst(random.Random())  # noqa: S311
+    """Return the online dispatch policies selected in ``names``."""
+    returns: RetryAfterPolicy = AfterBurst(random.Random())  # noqa: S311
     if names.returns == 'next_slot':
         returns = NextSlot()
     return DispatchPolicies(
@@ -51,12 +57,12 @@
 
 
 def make_cell_rule(names: DirectPolicy) -> CellRule:
-    """Return the division of large fleets that ``names`` chooses."""
+    """Return the rule selected in ``names`` that divides fleets into cells."""
     return CELL_RULES[names.cells]()
 
 
 def make_outliers(names: DirectPolicy, clock: Clock) -> OutlierDetector:
-    """Return the ejection of replicas that ``names`` chooses."""
+    """Return the outlier detector selected in ``names``."""
     if names.outliers == 'trust':
         return TrustAll()
     return OutlierEjector(clock, EJECT_FAILURES, EJECT_FIRST_S, EJECT_MOST_S)
--- a/cactusridge/dispatch/retries.py
+++ b/cactusridge/dispatch/retries.py
@@ -1,4 +1,4 @@
-"""Whether a call whose attempt failed may go to another replica."""
+"""Decides whether a call is retried after a failed attempt."""
 
 from cactusridge.dispatch.online_call import OnlineCall, Progress
 from cactusridge.dispatch.run import NotRun
@@ -11,16 +11,17 @@
     Overloaded,
 )
 
-# Replicas that may turn a request away before its caller is told: one
-# more than a replica just full and another that has just left.
-MAX_TURNED_AWAY = 4
-# A wait for a replica to appear, in seconds; a caller that comes back
-# then finds the list of replicas read once more.
+# Number of rejections by replicas after which the caller gets an error.
+# It leaves one attempt beyond a replica that has just become full and
+# another that has just shut down.
+MAX_REJECTIONS = 4
+# Retry delay in seconds that callers receive when no replica is ready. By
+# the time of the retry the list of replicas has been read again.
 NO_REPLICA_RETRY_S = 0.3
 
 
-def may_go_again(call: OnlineCall, progress: Progress) -> bool:
-    """Tell whether a request that may have run may be sent again."""
+def may_retry(call: OnlineCall, progress: Progress) -> bool:
+    """Return whether a request that may have run may be sent again."""
     if not call.route.repeatable:
         return False
     return progress.may_have_run < call.route.attempts
@@ -31,15 +32,19 @@
     progress: Progress,
     exc: CactusridgeError,
 ) -> None:
-    """Return if the call may go to another replica, else raise."""
+    """Return if the call may be retried at another replica, else raise.
+
+    Raises CallerGone if the caller has disconnected, Overloaded after
+    too many rejections, and ``exc`` otherwise.
+    """
     if call.caller.gone:
         raise CallerGone from exc
     if isinstance(exc, NotRun | ConnectFailed):
-        progress.turned_away += 1
-        if progress.turned_away >= MAX_TURNED_AWAY:
+        progress.rejections += 1
+        if progress.rejections >= MAX_REJECTIONS:
             raise Overloaded(retry_after_s=NO_REPLICA_RETRY_S) from exc
         return
     if isinstance(exc, Overloaded | NoReplica | DeadlineExceeded):
         raise exc
-    if not may_go_again(call, progress):
+    if not may_retry(call, progress):
         raise exc
--- a/cactusridge/dispatch/route_matches.py
+++ b/cactusridge/dispatch/route_matches.py
@@ -1,27 +1,27 @@
-"""Routes found before, for what is asked again and again."""
+"""Caches the routes found for hosts and paths."""
 
 from cactusridge.dispatch.catalog import NO_CATALOG, Catalog, Route
 
-# Matches kept: the items of some hundred jobs.
-KEPT = 4096
+# Enough for the items of a few hundred jobs.
+MAX_MATCHES = 4096
 
 
 class RouteMatches:
-    """Remembers matches until there is another configuration.
+    """Caches matches until the configuration changes.
 
-    The batch scheduler asks for each waiting item at each look: 16% of
-    an entry's processor time with some 80 items waiting, as sampled
-    every 2 ms.
+    The batch scheduler looks up the route of every waiting item in each
+    pass. Without the cache this took 16% of an entry's processor time
+    with about 80 items waiting.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with an empty cache."""
         self._catalog = NO_CATALOG
         self._found: dict[tuple[str, str], Route | None] = {}
 
     def match(self, catalog: Catalog, host: str, path: str) -> Route | None:
-        """Return what ``catalog`` matches."""
-        if catalog is not self._catalog or len(self._found) >= KEPT:
+        """Return the route that ``catalog`` has for a host and path."""
+        if catalog is not self._catalog or len(self._found) >= MAX_MATCHES:
             self._catalog = catalog
             self._found.clear()
         key = (host, path)
--- a/cactusridge/dispatch/run.py
+++ b/cactusridge/dispatch/run.py
@@ -1,11 +1,11 @@
-"""One request at one replica, counted as load while it lasts."""
+"""Runs one request at one replica and counts it as load meanwhile."""
 
 import contextlib
 
 from cactusridge import metrics
 from cactusridge.clock import Clock
-from cactusridge.dispatch.crash_watch import BrokenRun, CrashWatch
-from cactusridge.dispatch.placement import HoldTime
+from cactusridge.dispatch.crash_watch import CrashWatch, InterruptedRun
+from cactusridge.dispatch.placement import SlotTime
 from cactusridge.dispatch.upstream import (
     Exchange,
     Upstream,
@@ -28,31 +28,32 @@
 from cactusridge.quarantine.suspects import Suspects
 from cactusridge.routing.outliers import OutlierDetector
 
-# The connection ended before the answer did.
-BROKE_OFF = (OutcomeUnknown, TruncatedReply)
-# A caller that leaves a stream after this many seconds without an event
-# mostly leaves for that.
-STUCK_S = 1.0
-SERVER_FAULT = 500
-# A replica answers so when the time handed on is over.
-TIME_OVER = 504
+# Errors raised when a connection ended before the answer was complete.
+BROKEN_CONNECTION_ERRORS = (OutcomeUnknown, TruncatedReply)
+# Seconds without an event after which a disconnect of the caller is taken
+# as a sign that the replica is unresponsive: callers that wait so long
+# usually leave for that reason.
+STUCK_AFTER_S = 1.0
+SERVER_ERROR = 500
+# A replica answers with this status when the request's deadline has passed.
+GATEWAY_TIMEOUT = 504
 FIRST_SUCCESS = 200
 FIRST_REDIRECT = 300
 
 
 def is_success(status: int) -> bool:
-    """Tell whether ``status`` says that the request was served."""
+    """Return whether ``status`` is in the range 200 to 299."""
     return FIRST_SUCCESS <= status < FIRST_REDIRECT
 
 
 class NotRun(Refused):
-    """The replica said that it did not run the request."""
+    """The replica reported that it did not run the request."""
 
     code = 'not_run'
 
 
 class Run:
-    """A request under way; ``close`` ends it wherever it is."""
+    """A request in flight at a replica; ``close`` cancels it if unfinished."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
         fingerprint: str,
         stack: contextlib.ExitStack,
     ) -> None:
-        """Read from ``exchange``; ``stack`` is what closing undoes."""
+        """Read from ``exchange``; ``close`` unwinds ``stack``."""
         self.replica = replica
         self._kind = kind
         self.exchange = exchange
@@ -73,114 +74,119 @@
         self._opened_at = runner.clock.monotonic()
         self._stage = Stage.begun
         if kind == WorkKind.batch:
-            # An item's head comes when it begins.
+            # The head of a batch item arrives when the item starts to run.
             self._stage = Stage.queued
         self._aborted = False
         self._survived = False
-        self._heard_at = self._opened_at
+        self._received_at = self._opened_at
 
-    def lasted_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the seconds since the request was sent."""
         return self._runner.clock.monotonic() - self._opened_at
 
     def head(self, wait_s: float) -> UpstreamHead:
-        """Return a head that is this request's; raise NotRun and others."""
+        """Wait up to ``wait_s`` seconds for the head; check and return it.
+
+        Raises NotRun if the replica did not run the request, CrossedReply
+        if a success is not signed, and what ``Exchange.head`` raises.
+        """
         try:
             head = self.exchange.head(wait_s)
         except UpstreamSilent:
-            self._note_silence()
+            self._check_abandoned()
             raise
         except CactusridgeError as exc:
-            self._note_break(exc)
+            self._check_broken(exc)
             raise
-        if head.wrong_one or head.not_run:
-            if head.wrong_one:
+        if head.misdirected or head.not_run:
+            if head.misdirected:
                 self.failed()
             raise NotRun(f'{self.replica.id} answered {head.status}')
         if is_success(head.status) and not head.genuine:
             self.failed()
             raise CrossedReply(f'{self.replica.id} did not sign its answer')
         self._stage = Stage.begun
-        self._heard_at = self._runner.clock.monotonic()
+        self._received_at = self._runner.clock.monotonic()
         if head.genuine:
             life = self.replica.life
             self._runner.suspects.answered(life, self._opened_at)
             if not is_success(head.status):
                 self.survived()
-        self._judge(head.status)
+        self._record_status(head.status)
         return head
 
     def read(self, wait_s: float) -> bytes:
-        """Return the next bytes of the answer, nothing at its end."""
+        """Return the next bytes of the body; see ``Exchange.read``."""
         try:
             received = self.exchange.read(wait_s)
         except UpstreamSilent:
-            self._note_silence()
+            self._check_abandoned()
             raise
         except CactusridgeError as exc:
-            self._note_break(exc)
+            self._check_broken(exc)
             raise
-        self._heard_at = self._runner.clock.monotonic()
+        self._received_at = self._runner.clock.monotonic()
         return received
 
     def note_output(self) -> None:
-        """Note that some of the output has come."""
+        """Record that part of the output has been received."""
         self._stage = Stage.answering
 
     def survived(self) -> None:
-        """Note that the replica has run the request to its end."""
+        """Record a completed run, which withdraws the request's strikes."""
         self._survived = True
         self._runner.suspects.survived(self._fingerprint)
 
     def abort(self) -> None:
-        """End a wait of another greenlet; the replica stops."""
+        """Cancel the request, from a greenlet other than the waiting one."""
         self._aborted = True
-        if not self._survived and self._is_stuck():
-            self._note_silence()
+        if not self._survived and self._is_unresponsive():
+            self._check_abandoned()
         self.exchange.abort()
 
     def failed(self) -> None:
-        """Note that the replica failed, whatever was asked of it."""
+        """Record a failure of the replica that no request can have caused."""
         self._runner.health.failed(self.replica.life, certain=True)
 
     def close(self) -> None:
-        """End the request; its replica stops if it is still at work."""
+        """Stop counting the request as load; cancel it if it is unfinished."""
         self._stack.close()
 
-    def _note_break(self, exc: CactusridgeError) -> None:
-        """Note that an answer broke, and whether the replica may be gone."""
+    def _check_broken(self, exc: CactusridgeError) -> None:
+        """Record a broken answer and check whether the replica crashed."""
         self.failed()
-        if self._aborted or not isinstance(exc, BROKE_OFF):
+        if self._aborted or not isinstance(exc, BROKEN_CONNECTION_ERRORS):
             return
-        broken = BrokenRun(self._fingerprint, self._stage)
-        self._runner.crashes.broke_off(self.replica, broken)
+        broken = InterruptedRun(self._fingerprint, self._stage)
+        self._runner.crashes.connection_broken(self.replica, broken)
 
-    def _is_stuck(self) -> bool:
-        """Tell whether nothing of the output has come, or nothing lately."""
+    def _is_unresponsive(self) -> bool:
+        """Return whether no output has arrived, or none for STUCK_AFTER_S."""
         if self._stage != Stage.answering:
             return True
-        silent_s = self._runner.clock.monotonic() - self._heard_at
-        return silent_s >= STUCK_S
+        silent_s = self._runner.clock.monotonic() - self._received_at
+        return silent_s >= STUCK_AFTER_S
 
-    def _note_silence(self) -> None:
-        """Note that the run is given up, and ask whether its replica lives."""
-        broken = BrokenRun(self._fingerprint, self._stage)
-        self._runner.crashes.given_up(self.replica, broken)
+    def _check_abandoned(self) -> None:
+        """Abandon the run and check later whether its replica has crashed."""
+        broken = InterruptedRun(self._fingerprint, self._stage)
+        self._runner.crashes.run_abandoned(self.replica, broken)
 
-    def _judge(self, status: int) -> None:
-        """Note what a status says of the replica.
+    def _record_status(self, status: int) -> None:
+        """Record a status as a success or a failure of the replica.
 
-        Requests with little time left, and batch items that fail
-        wherever they run, would take good replicas out of choice.
+        Timeouts of requests with little time left, and server errors of
+        batch items that fail at every replica, are not counted. They
+        would eject healthy replicas.
         """
-        if status < SERVER_FAULT:
+        if status < SERVER_ERROR:
             self._runner.health.succeeded(self.replica.life, 0)
-        elif status != TIME_OVER and self._kind == WorkKind.online:
+        elif status != GATEWAY_TIMEOUT and self._kind == WorkKind.online:
             self._runner.health.failed(self.replica.life)
 
 
 class Runner(LifeListener):
-    """Opens runs and keeps what they teach of replicas and services."""
+    """Opens runs and collects what they reveal about replicas."""
 
     def __init__(
         self,
@@ -190,23 +196,23 @@
         suspects: Suspects,
         clock: Clock,
     ) -> None:
-        """Send through ``upstream``, count in ``loads``."""
+        """Send requests through ``upstream`` and count them in ``loads``."""
         self.suspects = suspects
         self.crashes = CrashWatch(upstream, suspects)
         self.loads = loads
         self.health = health
         self.clock = clock
         self._upstream = upstream
-        self._hold: dict[str, HoldTime] = {}
+        self._slot_times: dict[str, SlotTime] = {}
 
     def life_ended(self, life: str) -> None:
-        """Forget the verdicts on a life and what peers counted there."""
+        """Drop the health and the peers' counts of an ended incarnation."""
         self.health.forget(life)
         self.loads.forget_life(life)
 
-    def hold(self, service: str) -> HoldTime:
-        """Return how long online requests of a service hold a slot."""
-        return self._hold.setdefault(service, HoldTime())
+    def slot_time(self, service: str) -> SlotTime:
+        """Return the mean time that a service's online requests hold a slot."""
+        return self._slot_times.setdefault(service, SlotTime())
 
     def open(
         self,
@@ -216,9 +222,9 @@
         left_s: float,
         fresh: bool = False,
     ) -> Run:
-        """Send a request; raise ConnectFailed or OutcomeUnknown.
+        """Send ``req`` to ``replica``; see ``Upstream.send``.
 
-        A ``fresh`` one goes out on a new connection.
+        The run counts as load of the kind ``kind`` until it is closed.
         """
         with contextlib.ExitStack() as stack:
             stack.enter_context(self.loads.running(replica.life, kind))
--- a/cactusridge/dispatch/streams.py
+++ b/cactusridge/dispatch/streams.py
@@ -1,4 +1,4 @@
-"""Streams passed on event by event, and gone on with elsewhere."""
+"""Relays event streams and resumes broken ones at another replica."""
 
 from collections.abc import Iterator
 
@@ -7,7 +7,7 @@
 from cactusridge.dispatch.event_splitter import EventSplitter
 from cactusridge.dispatch.online_call import OnlineCall, Progress
 from cactusridge.dispatch.online_log import OnlineLog
-from cactusridge.dispatch.retries import check_retry, may_go_again
+from cactusridge.dispatch.retries import check_retry, may_retry
 from cactusridge.dispatch.run import Run, is_success
 from cactusridge.dispatch.upstream import UpstreamRequest
 from cactusridge.errors import (
@@ -16,13 +16,14 @@
     UpstreamFailed,
 )
 
-# Of a stream that has begun: many times its longest usual pause between
-# events, under the two seconds after which callers give it up.
+# Silence in seconds after which a started stream is resumed at another
+# replica. It is many times the longest usual pause between events, and
+# below the two seconds after which callers abandon a stream.
 STREAM_SILENCE_S = 1.2
 
 
 class Streams:
-    """Passes streams on to their callers."""
+    """Relays streams from replicas to callers."""
 
     def __init__(
         self,
@@ -30,18 +31,22 @@
         clock: Clock,
         log: OnlineLog,
     ) -> None:
-        """Go on with broken streams through ``attempts``."""
+        """Resume broken streams by new attempts made with ``attempts``."""
         self._attempts = attempts
         self._clock = clock
         self._log = log
 
-    def passed_on(
+    def relay(
         self,
         call: OnlineCall,
         run: Run,
         progress: Progress,
     ) -> Iterator[bytes]:
-        """Yield whole events; go on elsewhere where that is allowed."""
+        """Yield complete events to the caller.
+
+        A stream that breaks is resumed at another replica if the route
+        allows it; otherwise the error is raised.
+        """
         splitter = EventSplitter(call.req.resume_after)
         failure: CactusridgeError | None = None
         while True:
@@ -55,7 +60,7 @@
                 self._log.broken(call, run, splitter, exc)
             else:
                 run.survived()
-                self._attempts.note_hold(run.replica, begun_at)
+                self._attempts.record_slot_time(run.replica, begun_at)
                 return
             finally:
                 run.close()
@@ -68,7 +73,7 @@
         progress: Progress,
     ) -> Iterator[bytes]:
         limit_s = None
-        if may_go_again(call, progress):
+        if may_retry(call, progress):
             limit_s = STREAM_SILENCE_S
         received = run.read(self._attempts.wait_s(call, limit_s))
         while received:
@@ -88,42 +93,45 @@
         splitter: EventSplitter,
         exc: CactusridgeError,
     ) -> Run:
-        """Return a run that goes on after the last whole event.
+        """Return a run that resumes after the last complete event.
 
-        What is raised instead says that the request has run, also where
-        it is refused in the end.
+        Errors raised here have ``not_run`` set to False, even a refusal
+        by the last replica, because part of the request has already run.
         """
         try:
-            return self._run_elsewhere(call, progress, splitter, exc)
+            return self._run_at_another(call, progress, splitter, exc)
         except CactusridgeError as failure:
             failure.not_run = False
             self._log.failure(call, progress, failure)
             raise
 
-    def _run_elsewhere(
+    def _run_at_another(
         self,
         call: OnlineCall,
         progress: Progress,
         splitter: EventSplitter,
         exc: CactusridgeError,
     ) -> Run:
-        splitter.restart()
+        splitter.discard_partial()
         req = call.req._replace(resume_after=splitter.last_id)
         while True:
             check_retry(call, progress, exc)
             self._attempts.check(call, progress)
             try:
-                return self._run_on(call, req, progress)
+                return self._run_at_replica(call, req, progress)
             except CactusridgeError as failure:
                 exc = failure
 
-    def _run_on(
+    def _run_at_replica(
         self,
         call: OnlineCall,
         req: UpstreamRequest,
         progress: Progress,
     ) -> Run:
-        """Return a run whose answer has begun well."""
+        """Return a run at a newly chosen replica, after its head.
+
+        Raises UpstreamFailed if the status is not a success.
+        """
         replica = self._attempts.choose(call, progress)
         run = self._attempts.open(call, replica, progress, req)
         try:
--- a/cactusridge/dispatch/upstream.py
+++ b/cactusridge/dispatch/upstream.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs of a protocol towards upstreams."""
+"""The interface of protocols by which requests are sent to upstreams."""
 
 import abc
 from typing import NamedTuple
@@ -14,8 +14,8 @@
 
     ``target`` is the raw request target. ``fingerprint`` is the same for
     all repeats of a request. ``resume_after`` is the id of the last event
-    that is already there, if the stream is to go on. ``organisation`` is
-    the name of the caller's, empty where it has none.
+    received when a stream is resumed, else None. ``organisation`` is the
+    name of the caller's organisation, or empty if there is none.
     """
 
     id: str
@@ -31,15 +31,16 @@
 class UpstreamHead(NamedTuple):
     """The status and headers of an upstream's answer.
 
-    ``not_run`` is its word that the request has not run; ``wrong_one``
-    that another process has the address now. ``genuine`` says that the
-    answer is this request's and is marked as the upstream's own.
+    ``not_run`` is True if the upstream reported that the request did not
+    run. ``misdirected`` is True if another process now listens at the
+    address. ``genuine`` is True if the answer belongs to this request and
+    carries the signature header of the upstream.
     """
 
     status: int
     headers: HeaderList
     not_run: bool
-    wrong_one: bool
+    misdirected: bool
     genuine: bool
 
 
@@ -50,7 +51,7 @@
 
 
 class UpstreamSilent(CactusridgeError):
-    """The upstream has said nothing for a while."""
+    """The upstream sent nothing within the time limit."""
 
     status = 504
     kind = 'timeout_error'
@@ -58,34 +59,41 @@
 
 
 class Exchange(abc.ABC):
-    """One request under way at one replica."""
+    """One request in flight at one replica."""
 
     @abc.abstractmethod
     def head(self, wait_s: float) -> UpstreamHead:
         """Return the head of the answer.
 
-        Raises UpstreamSilent after ``wait_s`` seconds (it may be asked
-        again), OutcomeUnknown when the connection broke, CrossedReply
-        for what is no answer to this request.
+        Raises UpstreamSilent if nothing arrives within ``wait_s`` seconds;
+        the method may then be called again. Raises OutcomeUnknown if the
+        connection breaks, and CrossedReply if the data received is not an
+        answer to this request.
         """
 
     @abc.abstractmethod
     def read(self, wait_s: float) -> bytes:
-        """Return the next bytes of the body, nothing at its whole end.
+        """Return the next bytes of the body, or none when it is complete.
 
-        Raises UpstreamSilent, or TruncatedReply when it breaks off.
+        Raises UpstreamSilent if nothing arrives within ``wait_s`` seconds,
+        and TruncatedReply if the body breaks off.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Give the connection back, or close it if the answer is not over.
+        """Return the connection to its pool, or close it.
 
-        Closing it tells the upstream to stop.
+        The connection is closed if the answer is incomplete, which
+        cancels the request at the upstream.
         """
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """End a wait of another greenlet; the upstream stops."""
+        """Interrupt a greenlet that waits for the answer.
+
+        This breaks the connection, which cancels the request at the
+        upstream.
+        """
 
 
 class Upstream(abc.ABC):
@@ -99,12 +107,13 @@
         left_s: float,
         fresh: bool = False,
     ) -> Exchange:
-        """Send ``req`` with ``left_s`` seconds left; raise ConnectFailed.
+        """Send ``req``, which has ``left_s`` seconds to its deadline.
 
-        A ``fresh`` one goes out on a new connection. Raises
-        OutcomeUnknown when the connection broke while sending.
+        If ``fresh`` is set, the request goes out on a new connection.
+        Raises ConnectFailed if the replica could not be reached, and
+        OutcomeUnknown if the connection broke while sending.
         """
 
     @abc.abstractmethod
     def lives(self, replica: Replica) -> bool:
-        """Tell whether ``replica`` itself is still at its address."""
+        """Return whether this incarnation still listens at its address."""
--- a/cactusridge/dispatch/yielding.py
+++ b/cactusridge/dispatch/yielding.py
@@ -1,12 +1,12 @@
-"""How many batch requests an entry ends or starts at a replica.
-
-Answers bursts of online requests that meet replicas full of batch work:
-an online request that waits for a batch request to end waits seconds, one
-that waits for it to be cancelled waits for the replica's next step, some
-milliseconds. Every entry decides for itself from the counts that entries
-tell each other, so the rule has to give each the same answer from the
-same counts: the excess is taken off by the entry with the most batch
-requests there, the name deciding between equals.
+"""Computes how many batch requests an entry preempts or starts.
+
+The rules deal with bursts of online requests at replicas that are full of
+batch work. An online request that waits for a batch request to end waits
+for seconds; one that waits for it to be cancelled waits only for the next
+step of the replica, some milliseconds. Every entry decides on its own from
+the counts that entries send to each other, so the rule must give the same
+result at all entries for the same counts. The entry with the most batch
+requests at a replica preempts first; its name decides between equals.
 """
 
 from collections.abc import Mapping
@@ -18,10 +18,11 @@
     slots: int,
     loads: Mapping[str, Load],
 ) -> dict[str, int]:
-    """Return by entry how many batch requests it ends at a replica.
+    """Return the number of batch requests to preempt by entry name.
 
-    ``loads`` has each entry's requests there. What is over the slots is
-    taken off one by one where most are left.
+    ``loads`` maps each entry to its requests at the replica. The requests
+    beyond ``slots`` are removed one by one, each time from the entry that
+    has the most batch requests left.
     """
     batch = {name: load.batch for name, load in loads.items()}
     excess = sum(load.total for load in loads.values()) - slots
@@ -34,5 +35,5 @@
 
 
 def room(slots: int, load: Load) -> int:
-    """Return how many batch requests may start at a replica now."""
+    """Return how many more batch requests may start at a replica now."""
     return max(0, slots - load.total - load.claims)
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -62,7 +62,7 @@
         runner = SimpleNamespace(
             loads=self.loads,
             health=TrustAll(),
-            hold=lambda _: SimpleNamespace(mean_s=HOLD_S),
+            slot_time=lambda _: SimpleNamespace(mean_s=HOLD_S),
         )
         policies = make_policies(DirectPolicy())._replace(placing=placing)
         self._attempts = Attempts(
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,7 +9,7 @@
 
 from nose2.tools import params
 
-from cactusridge.dispatch.claims import CLAIM_S, claims_kept
+from cactusridge.dispatch.claims import CLAIM_WAIT_S, granted_claims
 from cactusridge.dispatch.yielding import room
 from cactusridge.peers.load import Load
 
@@ -74,7 +74,7 @@
 
     def _settle(self, word: Word) -> None:
         seen = self._heard[word.entry]
-        kept = claims_kept(1, self._replica, seen)[word.entry]
+        kept = granted_claims(1, self._replica, seen)[word.entry]
         self.sent += kept
         self._tell(word, Load(0, kept, 0))
 
@@ -106,7 +106,7 @@
     )
     def test_as_many_as_fit(self, loads, wanted):
         """Claims are kept while slots are free."""
-        kept = claims_kept(SLOTS, 'x', loads)
+        kept = granted_claims(SLOTS, 'x', loads)
         self.assertEqual(wanted, sum(kept.values()))
 
     def test_in_turn(self):
@@ -114,19 +114,19 @@
         loads = {name: Load(0, 0, 3) for name in 'abcd'}
         self.assertEqual(
             Counter('abcd'),
-            claims_kept(4, 'x', loads),
+            granted_claims(4, 'x', loads),
         )
 
     def test_no_entry_is_always_last(self):
         """Between equals each replica has another order."""
         loads = {name: Load(0, 0, 1) for name in ENTRIES}
-        kept = [claims_kept(1, f'replica-{n}', loads) for n in range(FREED)]
+        kept = [granted_claims(1, f'replica-{n}', loads) for n in range(FREED)]
         winners = set(itertools.chain.from_iterable(kept))
         self.assertEqual(set(ENTRIES), winners)
 
     def test_freed_slots_are_taken_once(self):
         """Nearly no run is sent in vain; without waiting most are."""
         self.assertGreater(sum(sent_for(0)), 3 * FREED)
-        settled = sent_for(CLAIM_S)
+        settled = sent_for(CLAIM_WAIT_S)
         self.assertEqual(1, min(settled))
         self.assertLess(sum(settled), 1.02 * FREED)
--- a/tests/test_consider.py
+++ b/tests/test_consider.py
@@ -5,7 +5,7 @@
 
 from nose2.tools import params
 
-from cactusridge.dispatch.placement import FEW, consider
+from cactusridge.dispatch.placement import RANDOM_CANDIDATES, select_candidates
 
 
 class TestConsider(unittest.TestCase):
@@ -16,7 +16,7 @@
         (20, 0, 30, 20),
         (20, 5, 30, 25),
         (0, 5, 30, 5),
-        (0, 0, 30, FEW),
+        (0, 0, 30, RANDOM_CANDIDATES),
         (0, 0, 2, 2),
     )
     def test_compared(self, near, offered, others, wanted):
@@ -25,11 +25,11 @@
         from_others = {f'offered-{number}' for number in range(offered)}
         lives = {f'far-{number}' for number in range(others)}
         lives |= own | from_others
-        found = consider(lives, own, from_others, random.Random(1))
+        found = select_candidates(lives, own, from_others, random.Random(1))
         self.assertEqual(wanted, len(found))
         self.assertLessEqual(own | from_others, found)
 
     def test_only_what_may_be_chosen(self):
         """A near replica that is out of choice is not compared."""
-        found = consider({'far'}, {'near'}, {'gone'}, random.Random(1))
+        found = select_candidates({'far'}, {'near'}, {'gone'}, random.Random(1))
         self.assertEqual({'far'}, found)
--- a/tests/test_dispatch_decisions.py
+++ b/tests/test_dispatch_decisions.py
@@ -6,12 +6,12 @@
 from nose2.tools import params
 
 from cactusridge.clock import ManualClock
-from cactusridge.dispatch.admission import Everybody, InTime
+from cactusridge.dispatch.admission import AdmitAll, InTime
 from cactusridge.dispatch.placement import (
     Choice,
-    choose,
+    choose_least_online,
     expected_wait_s,
-    silence_s,
+    tolerated_silence_s,
 )
 from cactusridge.dispatch.yielding import room, shares_to_yield
 from cactusridge.fleet.replica import Replica, ReplicaState
@@ -42,7 +42,7 @@
     def test_least_loaded(self, loads, wanted):
         """The replica with the least in front of the request wins."""
         choices = [Choice(replica(name), load) for name, load in loads.items()]
-        best = choose(choices, 'a', random.Random(1))
+        best = choose_least_online(choices, 'a', random.Random(1))
         self.assertEqual(wanted, best.replica.id)
 
     def test_own_zone_between_equals(self):
@@ -53,7 +53,7 @@
         ]
         self.assertEqual(
             'near',
-            choose(choices, 'a', random.Random(1)).replica.id,
+            choose_least_online(choices, 'a', random.Random(1)).replica.id,
         )
 
     @params(
@@ -70,13 +70,13 @@
     @params((Load(8, 0), 0.3), (Load(2, 9), 0.3), (Load(9, 0), 0.9))
     def test_silence(self, load, wanted):
         """Behind a queue of online requests silence is no failure yet."""
-        self.assertAlmostEqual(wanted, silence_s(load, SLOTS, 0.3))
+        self.assertAlmostEqual(wanted, tolerated_silence_s(load, SLOTS, 0.3))
 
     @params((1.0, 0.79), (0.21, 0), (0.1, -0.11))
     def test_admission(self, wait_s, excess_s):
         """Refused is who could not start in time, by how much is told."""
         self.assertAlmostEqual(excess_s, InTime().excess_s(wait_s, 0.3))
-        self.assertEqual(0, Everybody().excess_s(wait_s, 0.3))
+        self.assertEqual(0, AdmitAll().excess_s(wait_s, 0.3))
 
 
 class TestYielding(unittest.TestCase):
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -27,7 +27,7 @@
         """After a break the half event is gone and the id stands."""
         splitter = EventSplitter()
         splitter.feed(STREAM)
-        splitter.restart()
+        splitter.discard_partial()
         found = splitter.feed(b'id: 3\ndata: d\n\n')
         self.assertEqual(['d'], [event.payload for event in found])
         self.assertEqual('3', splitter.last_id)
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -72,11 +72,11 @@
         loads = LoadTable(clock)
         for peer in names[1:]:
             loads.heard(peer, dict.fromkeys(ids, Load(1, 1)))
-        hold = SimpleNamespace(mean_s=0)
+        slot_time = SimpleNamespace(mean_s=0)
         runner = SimpleNamespace(
             loads=loads,
             health=TrustAll(),
-            hold=lambda service: hold,
+            slot_time=lambda service: slot_time,
         )
         self.route = SimpleNamespace(
             shares=[SimpleNamespace(service=SERVICE, weight=1)],
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -8,7 +8,7 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.dispatch import policies as online
-from cactusridge.dispatch.admission import Everybody, InTime
+from cactusridge.dispatch.admission import AdmitAll, InTime
 from cactusridge.dispatch.claims import NoClaims, ToldClaims
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline
 from cactusridge.dispatch.returns import AfterBurst, NextSlot
@@ -27,7 +27,7 @@
 # By setting: ours, the naive one.
 CHOICES = {
     'placing': (LeastOnline, AnyReplica),
-    'admission': (InTime, Everybody),
+    'admission': (InTime, AdmitAll),
     'returns': (AfterBurst, NextSlot),
     'outliers': (OutlierEjector, TrustAll),
     'items': (OnTimeFirst, DueFirst),
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 
 from cactusridge.clock import ManualClock
-from cactusridge.dispatch.crash_watch import LEFT_AFTER_S
+from cactusridge.dispatch.crash_watch import ABANDONED_PROBE_DELAY_S
 from cactusridge.dispatch.run import Runner
 from cactusridge.dispatch.upstream import (
     Exchange,
@@ -106,7 +106,7 @@
                 run.note_output()
             run.read(1)
         clock.advance(1)
-        gevent.sleep(2 * LEFT_AFTER_S)
+        gevent.sleep(2 * ABANDONED_PROBE_DELAY_S)
         return found
 
     @params(
