--- a/cactusridge/sidecar_dispatch/__init__.py
+++ b/cactusridge/sidecar_dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Placing requests at sidecars: the fleet, attempts, retries, outcomes."""
+"""Sends requests to sidecars, retries them and resolves lost replies."""
--- a/cactusridge/sidecar_dispatch/attempt.py
+++ b/cactusridge/sidecar_dispatch/attempt.py
@@ -1,4 +1,4 @@
-"""One dispatch to one sidecar and the frames of its reply."""
+"""One attempt of a request at a sidecar, and the frames of its reply."""
 
 import abc
 import contextlib
@@ -27,19 +27,22 @@
 
 
 class RunListener(abc.ABC):
-    """Is told how a run ended, as far as the upstream is concerned."""
+    """Receives the outcome of a run at the upstream."""
 
     @abc.abstractmethod
     def survived(self) -> None:
-        """Note that the upstream has answered to the end."""
+        """Record that the upstream has completed its answer."""
 
     @abc.abstractmethod
     def crashed(self, has_output: bool) -> None:
-        """Note that the upstream ended; ``has_output`` if some had come."""
+        """Record that the upstream process ended during the run.
+
+        ``has_output`` is True if part of the output had been received.
+        """
 
 
 class Callbacks(NamedTuple):
-    """Who is told of heartbeats, the sidecar's reports and the run's end."""
+    """The receivers of heartbeats, sidecar reports and the run's outcome."""
 
     heartbeat: Callable[[], None]
     report: Callable[[SidecarReport], None]
@@ -47,10 +50,14 @@
 
 
 class RemoteRefusal(CactusridgeError):
-    """A sidecar's refusal, as it said it."""
+    """The sidecar refused the order."""
 
     def __init__(self, status: int, body: dict[str, object]) -> None:
-        """Take over status, code and whether the order ran."""
+        """Copy the fields of the sidecar's error message.
+
+        ``body`` has the keys ``message``, ``type``, ``code``,
+        ``retry_after_s`` (seconds) and ``not_run``; each is optional.
+        """
         retry_after_s = body.get('retry_after_s')
         super().__init__(
             str(body.get('message', '')),
@@ -63,7 +70,7 @@
 
 
 class Attempt:
-    """Reads the reply to one order; checks that it is this order's."""
+    """Reads the reply to one order and checks that it has its id."""
 
     def __init__(
         self,
@@ -72,7 +79,7 @@
         resp: HTTPSocketPoolResponse,
         callbacks: Callbacks,
     ) -> None:
-        """Read frames from ``resp``; call back on heartbeats and reports."""
+        """Read frames from ``resp`` and pass them to ``callbacks``."""
         self.order = order
         self.replica = replica
         self.status = OK
@@ -89,7 +96,13 @@
         self._prefetched: list[bytes] = []
 
     def wait_head(self) -> None:
-        """Read up to the head; raise the sidecar's refusal if it is one."""
+        """Read frames up to the head and store its status and headers.
+
+        Raises RemoteRefusal if the sidecar refused the order,
+        OutcomeUnknown if the reply ended before the run started,
+        TruncatedReply if it ended later, and CrossedReply if the reply
+        belongs to another order.
+        """
         while True:
             frame = self._read()
             if frame.head['kind'] == FrameKind.head:
@@ -100,14 +113,17 @@
                 return
 
     def prefetch(self, buffering: Buffering) -> None:
-        """Read as much of the body as has to be there before answering."""
+        """Read the part of the body that is needed before the answer starts."""
         if buffering == Buffering.whole:
             self._prefetched = list(self._frames())
         if buffering == Buffering.first:
             self._prefetched = list(itertools.islice(self._frames(), 1))
 
     def blocks(self) -> Iterator[bytes]:
-        """Yield the body; raise unless it comes whole."""
+        """Yield the body and close the attempt.
+
+        Raises the errors of ``wait_head`` if the body is incomplete.
+        """
         try:
             yield from self._prefetched
             yield from self._frames()
@@ -115,22 +131,26 @@
             self.close()
 
     def whole(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         return b''.join(self.blocks())
 
     def close(self) -> None:
-        """Give the connection back, or end it and so cancel the order."""
+        """Return the connection to its pool, or close it.
+
+        Closing it cancels an order that has not ended.
+        """
         if not self._open:
             return
         self._open = False
-        self._uncount()
+        self._stop_counting()
         if not self._resp.message_complete:
-            # Read the closing chunk if it is there already; otherwise
-            # releasing closes the connection and the sidecar cancels.
+            # Read the last chunk of an ended reply, so that the connection
+            # can be reused. Otherwise ``release`` closes the connection,
+            # and the sidecar cancels the order.
             self._finish_if_ended()
         self._resp.release()
 
-    def _uncount(self) -> None:
+    def _stop_counting(self) -> None:
         if self._counted:
             self._counted = False
             self._replica_work[self.order.work] -= 1
@@ -150,7 +170,7 @@
         self._callbacks.run.survived()
 
     def _read(self) -> Frame:
-        """Return the next frame that is no heartbeat."""
+        """Return the next head, body or end frame."""
         while True:
             frame = self._next()
             kind = frame.head['kind']
@@ -165,7 +185,7 @@
                 return frame
 
     def _refusal(self, frame: Frame) -> RemoteRefusal:
-        """Return the refusal; the report that follows it is taken too."""
+        """Return the refusal after reading the report that follows it."""
         end = self._next()
         if end.head['kind'] == FrameKind.end:
             self._check(end)
@@ -195,11 +215,11 @@
     def _check(self, frame: Frame) -> None:
         given = frame.head.get('id', self.order.id)
         if given != self.order.id:
-            raise CrossedReply(f'asked {self.order.id}, got {given}')
+            raise CrossedReply(f'sent order {self.order.id}, got {given}')
         if frame.head['kind'] == FrameKind.end:
             self._ended = True
-            # The report was made after this request had left.
-            self._uncount()
+            # The sidecar made the report after this request had ended.
+            self._stop_counting()
         report = frame.head.get('report')
         if report is not None:
             self._callbacks.report(report)
--- a/cactusridge/sidecar_dispatch/dispatch.py
+++ b/cactusridge/sidecar_dispatch/dispatch.py
@@ -1,4 +1,4 @@
-"""What is to be sent, before a replica is chosen."""
+"""A request to be dispatched, before its replica is chosen."""
 
 import enum
 from typing import NamedTuple
@@ -11,7 +11,10 @@
 
 
 class Buffering(enum.StrEnum):
-    """How much of an answer must be there before it is passed on."""
+    """How much of the body is read before the answer is passed on.
+
+    ``first`` stands for the first frame with a payload.
+    """
 
     none = 'none'
     first = 'first'
@@ -21,7 +24,8 @@
 class Dispatch(NamedTuple):
     """A request for a service, to be placed on one of its replicas.
 
-    ``deadline_at`` is on the monotonic clock, in seconds.
+    ``deadline_at`` is in seconds on the monotonic clock, ``slack_s`` is in
+    seconds.
     """
 
     service: Service
@@ -42,7 +46,7 @@
     fence: Fence | None = None
 
     def fingerprint(self) -> str:
-        """Return what repeats of this request by the team share."""
+        """Return the fingerprint, equal for all repeats by the same team."""
         return fingerprint_of(
             self.team,
             self.method,
@@ -58,7 +62,11 @@
         now: float,
         wants_report: bool,
     ) -> RunOrder:
-        """Return the order for one attempt at a sidecar."""
+        """Return the order for one attempt at a sidecar.
+
+        ``incarnation`` is that of the sidecar, ``now`` the monotonic time
+        in seconds.
+        """
         return RunOrder(
             id=order_id,
             incarnation=incarnation,
--- a/cactusridge/sidecar_dispatch/dispatcher.py
+++ b/cactusridge/sidecar_dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Places requests on replicas: choice, retries, at-most-once."""
+"""Sends requests to replicas and retries those that may be repeated."""
 
 import functools
 import random
@@ -34,34 +34,34 @@
     make_retries,
 )
 from cactusridge.sidecar_dispatch.replica import Replica
-from cactusridge.sidecar_dispatch.settler import Settler
+from cactusridge.sidecar_dispatch.settler import OutcomeResolver
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
-from cactusridge.sidecar_dispatch.suspect_run import CrashNames, SuspectRun
+from cactusridge.sidecar_dispatch.suspect_run import CrashIds, SuspectRun
 from cactusridge.startup.models import EntrySettings
 
-FINAL_CODES = frozenset(
+NON_RETRYABLE_CODES = frozenset(
     ('bad_request', 'not_found', 'too_large', 'quarantined'),
 )
 MIN_RETRY_S = 0.5
 
 
-def none_ran(said: Sequence[bool | None]) -> bool | None:
-    """Return what may be said of a request after several attempts.
+def combine_not_run(outcomes: Sequence[bool | None]) -> bool | None:
+    """Combine the ``not_run`` values of several attempts at a request.
 
-    True only if each is known not to have run; False if one is known
-    to have run; None if that is not known of some.
+    Returns True if no attempt ran the request, False if at least one is
+    known to have run it, and None if neither is known.
     """
-    if all(said):
+    if all(outcomes):
         return True
-    return False if False in said else None
+    return False if False in outcomes else None
 
 
 def ignore_heartbeat() -> None:
-    """Do nothing on a heartbeat."""
+    """Ignore a heartbeat of a sidecar."""
 
 
 class Dispatcher:
-    """Sends requests to replicas until one has answered or none may."""
+    """Sends requests to replicas until one answers or no retry is allowed."""
 
     def __init__(
         self,
@@ -70,15 +70,15 @@
         client: SidecarClient,
         clock: Clock,
     ) -> None:
-        """Choose among ``fleet`` as seen from the zone in ``cfg``."""
+        """Choose replicas from ``fleet``, as seen from the zone in ``cfg``."""
         self.fleet = fleet
         self.outliers = make_outliers(cfg.policy, clock)
         self.suspects = Suspects(RULES[cfg.policy.quarantine](), clock)
-        self._crashes = CrashNames(clock)
+        self._crashes = CrashIds(clock)
         self._zone = cfg.zone
         self._policy = cfg.policy
         self._client = client
-        self._settler = Settler(client, clock)
+        self._resolver = OutcomeResolver(client, clock)
         self._clock = clock
         self._rng = random.Random()  # noqa: S311
         self._picker = make_picker(cfg.policy, self._rng)
@@ -89,24 +89,25 @@
         dispatch: Dispatch,
         on_heartbeat: Callable[[], None] = ignore_heartbeat,
     ) -> Attempt:
-        """Return an attempt whose answer has begun; raise when none can.
+        """Return an attempt whose answer has started.
 
-        The error's ``not_run`` is True only if no attempt can have run.
+        Raises the last attempt's error if none succeeded; its ``not_run``
+        is True only if no attempt can have run the request.
         """
         budget = self._budget(dispatch)
         budget.request()
         tried: list[str] = []
-        said: list[bool | None] = []
+        outcomes: list[bool | None] = []
         while True:
             try:
                 return self._open_at_one(dispatch, tried, on_heartbeat)
             except CactusridgeError as exc:
-                said.append(exc.not_run)
-                exc.not_run = none_ran(said)
-                self._check_retry(dispatch, exc, budget, len(said))
+                outcomes.append(exc.not_run)
+                exc.not_run = combine_not_run(outcomes)
+                self._check_retry(dispatch, exc, budget, len(outcomes))
 
     def check(self, dispatch: Dispatch) -> None:
-        """Raise Quarantined if the request is held back."""
+        """Raise Quarantined if the request is quarantined."""
         self.suspects.check(dispatch.fingerprint())
 
     def attempt(
@@ -115,10 +116,10 @@
         replica: Replica,
         on_heartbeat: Callable[[], None] = ignore_heartbeat,
     ) -> Attempt:
-        """Try one replica; the error says truly whether it ran."""
+        """Send to ``replica``; an error's ``not_run`` holds the outcome."""
         host = self.fleet.host(replica.address)
         if host is None:
-            raise NoReplica('the replica is gone')
+            raise NoReplica('the sidecar has been removed from the fleet')
         now = self._clock.monotonic()
         order = dispatch.order(
             new_id('r', self._clock),
@@ -131,13 +132,17 @@
             attempt = self._begin(order, dispatch, replica, on_heartbeat)
         except CactusridgeError as exc:
             self._note_failure(replica, exc)
-            self._settler.settle(order, dispatch, replica, exc, now)
+            self._resolver.resolve(order, dispatch, replica, exc, now)
             raise
         self.outliers.succeeded(replica.key, replica.report['token_s'])
         return attempt
 
     def choose(self, dispatch: Dispatch, tried: Sequence[str]) -> Replica:
-        """Return the replica for ``dispatch``, none of ``tried`` if it can."""
+        """Return the replica for the next attempt at ``dispatch``.
+
+        Replicas whose keys are in ``tried`` are chosen only if there is no
+        other. Raises NoReplica if no replica accepts work.
+        """
         replicas = {
             replica.key: replica
             for replica in self.fleet.replicas(dispatch.service.path)
@@ -145,7 +150,7 @@
         fresh = set(replicas) - set(tried) or set(replicas)
         if not fresh:
             raise NoReplica(
-                f'no replica of {dispatch.service.name} takes work now',
+                f'no replica of {dispatch.service.name} accepts work now',
                 retry_after_s=MIN_RETRY_S,
             )
         allowed = self.outliers.allowed(replicas) & fresh
@@ -197,11 +202,10 @@
         return attempt
 
     def _limit_s(self, dispatch: Dispatch) -> float | None:
-        """Return how long to wait for an answer; None: its sidecar says.
+        """Return the longest wait for an answer, in seconds.
 
-        A batch item's time counts from the start of its run, which only
-        the sidecar sees; counted from here, an item that got its place
-        late would be charged an attempt for waiting.
+        Returns None for batch items: their sidecar counts the time-out from
+        the start of the run, so that waiting for a slot costs no attempt.
         """
         if dispatch.work == WorkClass.batch:
             return None
@@ -214,10 +218,10 @@
         budget: RetryPolicy,
         attempts: int,
     ) -> None:
-        """Return if the request may go again, else raise ``exc``."""
+        """Return if the request may be retried, else raise ``exc``."""
         may_repeat = exc.not_run or dispatch.repeatable
         late = self._clock.monotonic() >= dispatch.deadline_at
-        if late or not may_repeat or exc.code in FINAL_CODES:
+        if late or not may_repeat or exc.code in NON_RETRYABLE_CODES:
             raise exc
         if isinstance(exc, CallerGone):
             raise exc
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -1,4 +1,7 @@
-"""The hosts this entry knows; one greenlet probes each sidecar."""
+"""Keeps the entries and sidecars known to this entry.
+
+One greenlet probes each sidecar.
+"""
 
 import functools
 
@@ -26,7 +29,11 @@
 
 
 class Fleet:
-    """Entries and sidecars, from the lagging list and their own word."""
+    """Tracks entries and sidecars.
+
+    The sources are the host list, which lags behind, and the reports that
+    sidecars send themselves.
+    """
 
     def __init__(
         self,
@@ -36,7 +43,7 @@
         tree: SettingsTree,
         greenlets: Group,
     ) -> None:
-        """Know nobody but the seed peers before the first poll."""
+        """Start with the seed peers, which serve until the first poll."""
         self.cfg = cfg
         self.changed = Event()
         self._host_list = host_list
@@ -51,42 +58,46 @@
         }
 
     def start(self) -> None:
-        """Follow the host list, in greenlets of its own."""
-        # Silence is measured from one answer to the next.
+        """Start the greenlet that polls the host list."""
+        # The clock must not stop between probes, because the silence of a
+        # sidecar is measured from one of its answers to the next.
         self._clock.hold()
         self._spawn(keep_doing_every, self.cfg.hosts_poll_s, self.refresh)
 
     def now(self) -> float:
-        """Return the seconds by which reports of sidecars age."""
+        """Return the time in seconds on the clock that dates the reports."""
         return self._clock.monotonic()
 
     def refresh(self) -> None:
-        """Take the host list once; keep what is known if it is down."""
+        """Poll the host list once and update the entries and sidecars.
+
+        Nothing changes if the store is unavailable.
+        """
         try:
             hosts = self._host_list.hosts()
         except StoreUnavailable:
             return
-        self._take_entries(hosts)
-        self._take_sidecars(hosts)
+        self._update_entries(hosts)
+        self._update_sidecars(hosts)
 
     def peers(self) -> list[Address]:
         """Return the other entries."""
         return sorted(self._entries - {self.cfg.address})
 
     def entry_names(self) -> list[str]:
-        """Return all entries, this one among them, by address."""
+        """Return the addresses of all entries, including this one, sorted."""
         return sorted(map(str, self._entries | {self.cfg.address}))
 
     def sidecars(self) -> list[SidecarHost]:
-        """Return the sidecars this entry knows."""
+        """Return the sidecars that this entry tracks."""
         return list(self._sidecars.values())
 
     def host(self, address: Address) -> SidecarHost | None:
-        """Return the sidecar at ``address``, or None."""
+        """Return the sidecar at ``address``, or None if it is not tracked."""
         return self._sidecars.get(address)
 
     def replicas(self, service: str) -> list[Replica]:
-        """Return the replicas of ``service`` that take new work."""
+        """Return the replicas of ``service`` that accept new work."""
         now = self.now()
         return [
             host.replicas[service]
@@ -95,28 +106,31 @@
         ]
 
     def report_due(self, host: SidecarHost) -> bool:
-        """Tell whether a sidecar's next reply should bring its report."""
-        heard_at = host.heard_at
-        return heard_at is None or self.now() - heard_at > self.cfg.report_age_s
+        """Return whether the sidecar's next reply should include a report."""
+        last_report_at = host.last_report_at
+        return (
+            last_report_at is None
+            or self.now() - last_report_at > self.cfg.report_age_s
+        )
 
     def note_report(self, address: Address, report: SidecarReport) -> None:
-        """Take a sidecar's own word, from a probe or a reply."""
+        """Store a report that a sidecar sent with a probe or a reply."""
         host = self._sidecars.get(address)
         if host is None:
             return
         if report['draining'] and not host.draining:
             logs.emit(events.REPLICA_LEAVING, host=str(address))
         host.note_report(report, self.now())
-        if self._prober.behind(host, report):
+        if self._prober.is_outdated(host, report):
             host.wake.set()
         self.changed.set()
 
-    def _take_entries(self, hosts: list[Host]) -> None:
+    def _update_entries(self, hosts: list[Host]) -> None:
         listed = {host.address for host in hosts if host.role == ENTRY}
         if listed:
             self._entries = listed | {self.cfg.address}
 
-    def _take_sidecars(self, hosts: list[Host]) -> None:
+    def _update_sidecars(self, hosts: list[Host]) -> None:
         now = self.now()
         listed = {
             str(host.address): host for host in hosts if host.role == SIDECAR
@@ -128,12 +142,12 @@
             self.cfg.subset_size,
         )
         for name in chosen:
-            self._take(listed[name], now)
+            self._track(listed[name], now)
         wanted = {listed[name].address for name in chosen}
         for address in set(self._sidecars) - wanted:
-            self._drop_if_gone(address, now)
+            self._remove_if_gone(address, now)
 
-    def _take(self, host: Host, now: float) -> None:
+    def _track(self, host: Host, now: float) -> None:
         known = self._sidecars.get(host.address)
         if known is not None:
             known.note_listed(host.state, now)
@@ -144,10 +158,10 @@
         self._spawn(
             keep_doing,
             functools.partial(self._probe, found),
-            functools.partial(self._knows, found),
+            functools.partial(self._is_tracked, found),
         )
 
-    def _drop_if_gone(self, address: Address, now: float) -> None:
+    def _remove_if_gone(self, address: Address, now: float) -> None:
         host = self._sidecars[address]
         host.note_listed(None, now)
         if host.belief(now) == Belief.gone:
@@ -156,13 +170,13 @@
             logs.emit(events.REPLICA_GONE, host=str(address))
 
     def _probe(self, host: SidecarHost) -> None:
-        """Probe one sidecar once; wait until it is due again."""
-        report = self._prober.ask(host)
+        """Probe a sidecar once, then wait until the next probe is due."""
+        report = self._prober.fetch_report(host)
         if report is not None:
             self.note_report(host.address, report)
         self._prober.wait_until_due(host)
 
-    def _knows(self, host: SidecarHost) -> bool:
+    def _is_tracked(self, host: SidecarHost) -> bool:
         return self._sidecars.get(host.address) is host
 
     def _on_change(self, path: str) -> None:
--- a/cactusridge/sidecar_dispatch/parts.py
+++ b/cactusridge/sidecar_dispatch/parts.py
@@ -1,4 +1,4 @@
-"""What the interfaces and the batch work of an entry are built from."""
+"""The components shared by the HTTP interfaces and batch work."""
 
 from typing import NamedTuple
 
@@ -21,7 +21,7 @@
 
 
 class Parts(NamedTuple):
-    """One of each; whoever needs some takes the whole."""
+    """The shared components of an entry, passed around as one value."""
 
     cfg: EntrySettings
     clock: Clock
@@ -38,7 +38,10 @@
     greenlets: Group
 
     def team_of(self, req: Req) -> str:
-        """Return the caller's team; the administrator belongs to none."""
+        """Return the caller's team.
+
+        Raises NotFound for the administrator, who belongs to no team.
+        """
         caller = self.access.caller(req.header('Authorization'))
         if caller.admin:
             raise NotFound('the administrator has no files or batches')
--- a/cactusridge/sidecar_dispatch/peer_host.py
+++ b/cactusridge/sidecar_dispatch/peer_host.py
@@ -1,4 +1,4 @@
-"""A sidecar as this entry knows it: list's word, own word, replicas."""
+"""The state of one sidecar and its replicas as known to this entry."""
 
 from gevent.event import Event
 
@@ -10,17 +10,24 @@
 
 
 class SidecarHost:
-    """One sidecar: what was heard of it and from it."""
+    """A sidecar with its state in the host list and its last report.
+
+    ``listed`` is None once the sidecar is missing from the host list.
+    ``listed_at`` and ``last_report_at`` are in monotonic seconds.
+    """
 
     def __init__(self, host: Host, now: float, probe_s: float) -> None:
-        """Know ``host`` from the list at the monotonic time ``now``."""
+        """Track ``host``, found in the host list at monotonic time ``now``.
+
+        ``probe_s`` is the interval between probes, in seconds.
+        """
         self.wake = Event()
         self._probe_s = probe_s
         self.address: Address = host.address
         self.zone = host.zone
         self.listed: HostState | None = host.state
         self.listed_at = now
-        self.heard_at: float | None = None
+        self.last_report_at: float | None = None
         self.incarnation = ''
         self.draining = False
         self.settings_version = 0
@@ -30,14 +37,17 @@
         }
 
     def note_listed(self, state: HostState | None, now: float) -> None:
-        """Take the list's word; None when it is not listed any more."""
+        """Store the state in the host list at the monotonic time ``now``.
+
+        ``state`` is None if the sidecar is missing from the list.
+        """
         self.listed = state
         if state is not None:
             self.listed_at = now
 
     def note_report(self, report: SidecarReport, now: float) -> None:
-        """Take the sidecar's own word."""
-        self.heard_at = now
+        """Store a report of the sidecar received at monotonic time ``now``."""
+        self.last_report_at = now
         self.incarnation = report['incarnation']
         self.draining = report['draining']
         self.settings_version = report['settings_version']
@@ -51,8 +61,10 @@
             self.replicas[service].note_report(load, now)
 
     def belief(self, now: float) -> Belief:
-        """Return what to make of this host."""
-        heard_s = None if self.heard_at is None else now - self.heard_at
+        """Return whether the sidecar serves, leaves, is silent or is gone."""
+        heard_s = (
+            None if self.last_report_at is None else now - self.last_report_at
+        )
         return judge(
             Evidence(
                 listed=self.listed,
--- a/cactusridge/sidecar_dispatch/policies.py
+++ b/cactusridge/sidecar_dispatch/policies.py
@@ -1,4 +1,4 @@
-"""Makes the decisions that the start settings name."""
+"""Builds the dispatch policies named in the start settings."""
 
 import random
 from collections.abc import Callable
@@ -33,20 +33,23 @@
 
 
 def make_picker(policy: EntryPolicy, rng: random.Random) -> ReplicaPicker:
-    """Return the choice of a replica."""
+    """Return the replica picker selected in ``policy``."""
     make: Callable[[random.Random], ReplicaPicker] = PICKERS[policy.picker]
     return make(rng)
 
 
 def make_outliers(policy: EntryPolicy, clock: Clock) -> OutlierDetector:
-    """Return the ejection of replicas."""
+    """Return the outlier detector selected in ``policy``."""
     if policy.outliers == 'trust':
         return TrustAll()
     return OutlierEjector(clock)
 
 
 def make_retries(policy: EntryPolicy, share: float) -> RetryPolicy:
-    """Return the retries of one service."""
+    """Return a retry policy for one service.
+
+    ``share`` is the number of retries allowed per request on average.
+    """
     if policy.retries == 'thrice':
         return RetryThrice()
     return RetryBudget(share)
--- a/cactusridge/sidecar_dispatch/replica.py
+++ b/cactusridge/sidecar_dispatch/replica.py
@@ -1,4 +1,4 @@
-"""One upstream of one sidecar, as this entry knows it."""
+"""One upstream of one sidecar, as known to this entry."""
 
 from cactusridge.http.client import Address
 from cactusridge.orders import ServiceReport, WorkClass
@@ -17,10 +17,13 @@
 
 
 class Replica:
-    """A service at a sidecar: its last report and own requests there."""
+    """A service at a sidecar, with its last report.
+
+    ``own`` counts this entry's requests in flight there by work class.
+    """
 
     def __init__(self, address: Address, zone: str, service: str) -> None:
-        """Know the replica before its first report."""
+        """Start with an empty report."""
         self.address = address
         self.zone = zone
         self.service = service
@@ -28,23 +31,27 @@
         self.report = NO_LOAD
         self.reported_at = float(0)
         self.own = {work: 0 for work in WorkClass}
-        self._own_then = 0
+        self._own_at_report = 0
 
     def note_report(self, report: ServiceReport, now: float) -> None:
-        """Take a report received at the monotonic time ``now``."""
+        """Store a report received at the monotonic time ``now``."""
         self.report = report
         self.reported_at = now
-        self._own_then = self.own[WorkClass.online]
+        self._own_at_report = self.own[WorkClass.online]
 
     def candidate(self, now: float, sharers: int) -> Candidate:
-        """Return the replica as the choice for online work sees it."""
+        """Return the replica as a candidate for an online request.
+
+        ``now`` is the monotonic time in seconds, ``sharers`` the number of
+        entries that send requests to the replica.
+        """
         report = self.report
         return Candidate(
             key=self.key,
             zone=self.zone,
             own=self.own[WorkClass.online],
             reported=report['online_running'] + report['online_waiting'],
-            own_then=self._own_then,
+            own_then=self._own_at_report,
             age_s=now - self.reported_at,
             limit=report['online_limit'],
             wait_s=report['wait_s'],
@@ -52,9 +59,10 @@
         )
 
     def batch_share(self, entries: int) -> int:
-        """Return how many batch items this entry may have there.
+        """Return how many batch items this entry may have in flight here.
 
-        Twice what may run now, so that the next is ready beside the
-        engine when a slot comes free; shared among the entries.
+        All entries together may send twice as many items as may run now,
+        so that the next item is already waiting at the sidecar when a
+        slot becomes free. Each of the ``entries`` gets an equal share.
         """
         return max(1, self.report['batch_limit'] * 2 // max(1, entries))
--- a/cactusridge/sidecar_dispatch/settler.py
+++ b/cactusridge/sidecar_dispatch/settler.py
@@ -1,4 +1,4 @@
-"""Finds out what became of an order whose reply was lost."""
+"""Determines whether an order ran when its reply was lost."""
 
 from types import MappingProxyType
 
@@ -14,18 +14,18 @@
 from cactusridge.sidecar_dispatch.replica import Replica
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
 
-HAS_NOT_RUN = MappingProxyType({Verdict.never: True, Verdict.ran: False})
+NOT_RUN_BY_VERDICT = MappingProxyType({Verdict.never: True, Verdict.ran: False})
 
 
-class Settler:
-    """Asks a sidecar, by a tombstone, whether an order has run."""
+class OutcomeResolver:
+    """Sends tombstones to sidecars to learn whether orders ran."""
 
     def __init__(self, client: SidecarClient, clock: Clock) -> None:
-        """Ask through ``client``."""
+        """Send tombstones through ``client``."""
         self._client = client
         self._clock = clock
 
-    def settle(
+    def resolve(
         self,
         order: RunOrder,
         dispatch: Dispatch,
@@ -33,20 +33,22 @@
         exc: CactusridgeError,
         sent_at: float,
     ) -> None:
-        """Leave the answer in ``exc.not_run``; None if it is not known.
+        """Set ``exc.not_run`` to the sidecar's verdict on an order.
 
-        The question also keeps an order that is still on its way from
-        ever running. ``sent_at`` is on the monotonic clock.
+        The value is True if the order never ran and never will, False if
+        it ran, and None if that is unknown. The tombstone also prevents
+        an order that is still in transit from running later. ``sent_at``
+        is the monotonic time in seconds when the order was sent.
         """
-        if exc.not_run or not _worth_asking(dispatch, exc):
+        if exc.not_run or not _should_query(dispatch, exc):
             return
-        question = TombstoneOrder(
+        order_query = TombstoneOrder(
             id=order.id,
             incarnation=order.incarnation,
             age_s=self._clock.monotonic() - sent_at,
         )
         try:
-            verdict = self._client.tombstone(replica.address, question)
+            verdict = self._client.tombstone(replica.address, order_query)
         except CactusridgeError:
             verdict = Verdict.unknown
         logs.emit(
@@ -55,14 +57,14 @@
             verdict=verdict.value,
             repeatable=dispatch.repeatable,
         )
-        exc.not_run = HAS_NOT_RUN.get(verdict)
+        exc.not_run = NOT_RUN_BY_VERDICT.get(verdict)
 
 
-def _worth_asking(dispatch: Dispatch, exc: CactusridgeError) -> bool:
-    """Tell whether the sidecar should be asked what became of it.
+def _should_query(dispatch: Dispatch, exc: CactusridgeError) -> bool:
+    """Return whether to query the sidecar about the outcome.
 
-    Someone who waits for an online answer past its deadline gets the
-    refusal at once; a batch item can wait for the truth.
+    After its deadline an online request is refused at once, since its
+    caller is waiting. A batch item can wait for the verdict.
     """
     if isinstance(exc, DeadlineExceeded):
         return dispatch.work == WorkClass.batch
--- a/cactusridge/sidecar_dispatch/sidecar_client.py
+++ b/cactusridge/sidecar_dispatch/sidecar_client.py
@@ -1,4 +1,4 @@
-"""Calls from an entry to sidecars."""
+"""HTTP requests from an entry to sidecars."""
 
 from geventhttpclient.response import HTTPParseError, HTTPSocketPoolResponse
 
@@ -22,10 +22,13 @@
 
 
 class SidecarClient:
-    """Sends orders and probes; an unreachable sidecar is NoReplica."""
+    """Sends orders, probes, settings and tombstones to sidecars.
+
+    All methods that send raise NoReplica if a sidecar is unreachable.
+    """
 
     def __init__(self, cfg: CommonSettings) -> None:
-        """Take time-outs and the internal secret from ``cfg``."""
+        """Use the time-outs and the internal secret in ``cfg``."""
         self._clients = Clients(cfg.connect_timeout_s, cfg.silence_timeout_s)
         self._timeout_s = cfg.connect_timeout_s + cfg.silence_timeout_s
         self._headers = {SECRET_HEADER: cfg.internal_secret}
@@ -36,9 +39,10 @@
         order: RunOrder,
         body: bytes,
     ) -> HTTPSocketPoolResponse:
-        """Send an order; return its reply, whose body is frames.
+        """Send an order and return its reply, whose body holds frames.
 
-        NoReplica: not sent. OutcomeUnknown: it may have arrived.
+        Raises NoReplica if the order was not sent, and OutcomeUnknown if
+        the sidecar may have received it.
         """
         line = order.model_dump_json().encode()
         raw = b'\n'.join((line, body))
@@ -56,9 +60,9 @@
             raise OutcomeUnknown(f'{address}: {exc!r}') from exc
 
     def probe(self, address: Address, version: int) -> SidecarReport:
-        """Return the sidecar's report."""
+        """Probe a sidecar and return its report."""
         message = Probe(settings_version=version).model_dump()
-        return self._ask(address, '/internal/probe', message)
+        return self._post(address, '/internal/probe', message)
 
     def push(
         self,
@@ -66,21 +70,24 @@
         version: int,
         services: dict[str, dict[str, object]],
     ) -> SidecarReport:
-        """Send settings; return the report after they are in force."""
+        """Send settings and return the report made after they took effect."""
         push = SettingsPush(version=version, services=services)
-        return self._ask(address, '/internal/settings', push.model_dump())
+        return self._post(address, '/internal/settings', push.model_dump())
 
     def tombstone(self, address: Address, order: TombstoneOrder) -> Verdict:
-        """Ask on a new connection whether an order ran."""
+        """Send a tombstone and return the verdict whether the order ran.
+
+        It goes out on a new connection.
+        """
         self.drop(address)
-        report = self._ask(address, '/internal/tombstone', order.model_dump())
+        report = self._post(address, '/internal/tombstone', order.model_dump())
         return Verdict(report.get('verdict', Verdict.unknown))
 
     def drop(self, address: Address) -> None:
         """Close idle connections to a sidecar."""
         self._clients.drop(address)
 
-    def _ask(
+    def _post(
         self,
         address: Address,
         path: str,
--- a/cactusridge/sidecar_dispatch/suspect_run.py
+++ b/cactusridge/sidecar_dispatch/suspect_run.py
@@ -1,4 +1,4 @@
-"""What a run at a sidecar says of the request, if its upstream ends."""
+"""Reports the outcomes of runs at sidecars as evidence of crashes."""
 
 from typing import NamedTuple
 
@@ -10,72 +10,76 @@
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
 from cactusridge.sidecar_dispatch.replica import Replica
 
-# Runs that break off at a replica within this time, in seconds, do so by
-# the same crash.
+# Runs that break off at a replica within this time, in seconds, are
+# attributed to the same crash.
 SAME_CRASH_S = 1.0
 
 
-class CrashName(NamedTuple):
-    """The name of a crash and when it was first noticed."""
+class CrashId(NamedTuple):
+    """The id of a crash and the Unix time when it was first noticed."""
 
-    name: str
+    crash_id: str
     noticed_at: float
 
 
-class CrashNames:
-    """Names crashes of upstreams, whose lives sidecars do not tell.
+class CrashIds:
+    """Assigns ids to crashes of upstreams.
 
-    A request may run several times at a replica; one crash counts once.
+    Sidecars do not report the incarnations of their upstreams, so the ids
+    stand for these. They ensure that one crash counts once against a
+    request that runs several times at a replica.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Know no crash."""
+        """Start with no known crashes."""
         self._clock = clock
-        self._last: dict[str, CrashName] = {}
+        self._last: dict[str, CrashId] = {}
 
-    def name(self, replica_key: str) -> str:
-        """Return the name of the crash that has just been noticed.
+    def identify(self, replica_key: str) -> str:
+        """Return the id of the crash that has just been noticed.
 
-        Entries that notice it at the same time mostly name it alike.
+        Entries that notice a crash within the same second usually give it
+        the same id, since the id contains the Unix time in seconds.
         """
         now = self._clock.wall()
         last = self._last.get(replica_key)
         if last is None or now - last.noticed_at >= SAME_CRASH_S:
-            last = CrashName(f'{replica_key}#{int(now)}', now)
+            last = CrashId(f'{replica_key}#{int(now)}', now)
             self._last[replica_key] = last
-        return last.name
+        return last.crash_id
 
 
 class SuspectRun(RunListener):
-    """One run of a request at a replica."""
+    """Reports the outcome of one run of a request to the suspects."""
 
     def __init__(
         self,
         dispatch: Dispatch,
         replica: Replica,
         suspects: Suspects,
-        crashes: CrashNames,
+        crashes: CrashIds,
     ) -> None:
-        """Tell ``suspects`` how the run of ``dispatch`` ends."""
+        """Report to ``suspects`` how the run of ``dispatch`` ends."""
         self._dispatch = dispatch
         self._replica = replica
         self._suspects = suspects
         self._crashes = crashes
 
     def survived(self) -> None:
-        """Note that the upstream has run the request to its end."""
+        """Record that the upstream has run the request to completion."""
         self._suspects.survived(self._dispatch.fingerprint())
 
     def crashed(self, has_output: bool) -> None:
-        """Note that the upstream ended while it had the request."""
+        """Record that the upstream process ended during the run."""
         self._suspects.crashed(
             self._dispatch.fingerprint(),
-            self._crashes.name(self._replica.key),
+            self._crashes.identify(self._replica.key),
             self._stage(has_output),
         )
 
     def _stage(self, has_output: bool) -> Stage:
         if self._dispatch.work == WorkClass.batch:
-            # Its output stays at the sidecar until it is whole.
+            # The sidecar sends the output of a batch item only when it is
+            # complete, so this entry cannot observe its progress.
             return Stage.queued
         return Stage.answering if has_output else Stage.begun
