--- a/cactusridge/jobs/__init__.py
+++ b/cactusridge/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs whose items entries run directly at upstreams."""
+"""Batch jobs whose items an entry sends directly to upstream replicas."""
--- a/cactusridge/jobs/free_replicas.py
+++ b/cactusridge/jobs/free_replicas.py
@@ -1,4 +1,4 @@
-"""Which replica has room for one more batch item."""
+"""Selects a replica with a free slot for a batch item."""
 
 import itertools
 import random
@@ -13,7 +13,7 @@
 
 
 class FreeReplicas:
-    """Finds the replica with the most room among an entry's own."""
+    """Finds the replica with the most free slots for this entry's items."""
 
     def __init__(
         self,
@@ -21,17 +21,17 @@
         runner: Runner,
         sharing: BatchSharing,
     ) -> None:
-        """Look among those where ``sharing`` lets this entry."""
+        """Choose among the replicas that ``sharing`` assigns to this entry."""
         self._fleet = fleet
         self._runner = runner
         self._sharing = sharing
         self._rng = random.Random()  # noqa: S311
 
     def roomiest(self, route: Route) -> Replica | None:
-        """Return the replica with the most room, None if there is none.
+        """Return the replica with the most free slots, None if all are full.
 
-        One of the entry's cell if any there has room: what runs in another
-        availability zone costs bytes between them.
+        Replicas of the entry's own cell come first, since an item that
+        runs in another availability zone causes traffic between zones.
         """
         services = [each.service for each in route.shares if each.weight]
         cells = map(self._sharing.cells.of_service, services)
@@ -52,11 +52,13 @@
     def _usable(
         self, services: list[str], near: Set[str]
     ) -> dict[str, Replica]:
-        """Return the replicas where this entry may run batch, by life.
+        """Return the replicas where this entry may run items.
 
-        Of another cell's only those of whose requests it is told: one that
-        it knows nothing of looks empty. Without any replica of its own an
-        entry uses all; yielding sorts it out.
+        The keys are the incarnations of the replicas. A replica of a
+        remote cell is included only if this entry receives its request
+        counts, since a replica without counts would seem to be idle. An
+        entry to which no replica is assigned uses every ready replica;
+        preemption then corrects the excess.
         """
         mine = list(
             itertools.chain(*map(self._sharing.replicas_of, services)),
--- a/cactusridge/jobs/heads.py
+++ b/cactusridge/jobs/heads.py
@@ -1,4 +1,4 @@
-"""The heads of all jobs, as the store last told of them."""
+"""Local copy of all job heads, updated from the store's feed."""
 
 from collections.abc import Callable
 
@@ -13,35 +13,35 @@
 
 
 def head_in(row: Row) -> JobHead:
-    """Return the head in a row; raise UnreadableField."""
+    """Parse the head of a job from its row; raise UnreadableField."""
     return head_of(row.key.rpartition('/')[-1], row.value or {}, row.version)
 
 
 class JobHeads(TableListener):
-    """Keeps the newest head of each job; tells who listens of changes.
+    """Keeps the newest head of each job and notifies a listener of changes.
 
-    A job whose head cannot be read is not known here: its callers are
-    answered from the row itself, nobody takes or removes it, and its
-    holder, if it has one, goes on.
+    A job with an unreadable head is left out. Requests for such a job read
+    its row from the store, no entry takes it over or removes it, and its
+    holder, if it has one, continues to run it.
     """
 
     def __init__(self) -> None:
-        """Know no job."""
+        """Start without any head."""
         self._heads: dict[str, JobHead] = {}
         self._on_change: Callable[[JobHead], None] | None = None
         self._reader = RowReader()
-        # Versions of heads that cannot be read, by job.
+        # Version of each unreadable head by job id.
         self._unreadable: dict[str, int] = {}
 
     def on_change(self, listener: Callable[[JobHead], None]) -> None:
-        """Call ``listener`` with each head that is newer than the last."""
+        """Call ``listener`` with each head newer than the known one."""
         self._on_change = listener
 
     def put(self, row: Row) -> None:
-        """Take a head from the store."""
+        """Update a head from its row; an absent row removes the head."""
         job_id = row.key.rpartition('/')[-1]
         if row.key != head_key(job_id):
-            self._reader.report(row, 'no place of a head')
+            self._reader.report(row, 'the key is not that of a job head')
             return
         try:
             head = self._reader.read(row, head_in)
@@ -56,14 +56,14 @@
         self.note(head)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Forget jobs that are no longer in the store."""
+        """Remove the heads whose keys are not in ``keys``."""
         for known in (self._heads, self._unreadable):
             for job_id in list(known):
                 if head_key(job_id) not in keys:
                     known.pop(job_id)
 
     def note(self, head: JobHead) -> None:
-        """Take a head if it is newer than what is known of the job."""
+        """Store a head if it is newer than the known version of the job."""
         known = self._heads.get(head.id)
         if known is not None and known.version >= head.version:
             return
@@ -75,9 +75,9 @@
             self._on_change(head)
 
     def get(self, job_id: str) -> JobHead | None:
-        """Return a job's head if it is known here."""
+        """Return the head of a job, or None if it is not known."""
         return self._heads.get(job_id)
 
     def every(self) -> list[JobHead]:
-        """Return the heads of all jobs."""
+        """Return the heads of all known jobs."""
         return list(self._heads.values())
--- a/cactusridge/jobs/held_job.py
+++ b/cactusridge/jobs/held_job.py
@@ -1,4 +1,4 @@
-"""A job that this entry runs."""
+"""The state of a job that this entry holds, and its commits."""
 
 import base64
 from collections.abc import Iterable, Sequence
@@ -27,18 +27,19 @@
 from cactusridge.jobs.step import ItemEnd, Step
 from cactusridge.store.unreadable import UnreadableRecord
 
+# Pause in seconds before a failed commit is retried.
 RETRY_S = 0.3
-# How often unfinished outputs are stored, in seconds: what a holder that
-# is lost had done since has to be done again, against some kilobytes at
-# the store for each running item.
+# Interval between two checkpoints in seconds. If a holder is lost, the output
+# since its last checkpoint has to be produced again; a shorter interval costs
+# more writes to the store, of some kilobytes for each item in flight.
 CHECKPOINT_S = 1.0
-# Unfinished outputs in one transaction, so that with their 15,000
-# characters each they stay under a megabyte.
+# Maximum number of checkpoints in one transaction. At 15,000 characters each
+# they stay below one megabyte, the limit of a transaction.
 MAX_PARTIALS = 12
 
 
 class HeldJob:
-    """Tasks of a job, and the greenlet that commits what has ended."""
+    """Tracks the items of a held job and commits finished items."""
 
     def __init__(
         self,
@@ -49,7 +50,10 @@
         ledger: JobLedger,
         clock: Clock,
     ) -> None:
-        """Hold ``head``; the items in ``progress`` are done."""
+        """Create tasks for the items that ``progress`` does not list.
+
+        ``partials`` are the checkpoints of earlier runs.
+        """
         self.head = head
         self.stopped = False
         self.listed = Event()
@@ -73,17 +77,17 @@
 
     @property
     def finished(self) -> bool:
-        """Whether every item is listed."""
+        """Whether the results of all items are committed."""
         return len(self._progress.listed) == self.head.items
 
     def note_failure(self, task: ItemTask) -> None:
-        """Count a run that the upstream failed."""
+        """Count a run of an item that failed at the upstream."""
         task.failures += 1
         self._failures[str(task.index)] = task.failures
         self._wake.set()
 
     def note_end(self, task: ItemTask, state: ItemState) -> None:
-        """Have an item listed with its output."""
+        """Record the final state of an item for the next commit."""
         output = task.output() if state == ItemState.completed else ''
         result = Result(task.item.id, state, output)
         checkpointed = task.stored_id is not None
@@ -100,19 +104,22 @@
             )
 
     def stop(self) -> None:
-        """Commit nothing more that is not on its way."""
+        """Stop committing; a commit that is in progress may still complete."""
         self.stopped = True
         self._wake.set()
 
     def hand_over(self) -> None:
-        """Store everything that there is, then stop; raise HoldLost."""
+        """Commit all results and checkpoints, then stop; raise HoldLost."""
         with self._committing:
             while self._commit_some(self._partials()):
                 gevent.sleep(0)
         self.stop()
 
     def flush(self) -> None:
-        """Commit until everything that has ended is listed."""
+        """Commit finished items until the job is finished or stopped.
+
+        Raises HoldLost.
+        """
         while not (self.finished or self.stopped):
             self._wake.wait(CHECKPOINT_S)
             self._wake.clear()
@@ -120,7 +127,7 @@
                 self._commit_all()
 
     def _commit_all(self) -> None:
-        """Commit what has ended and, if it is due, what has gone on."""
+        """Commit all finished items, and checkpoints if they are due."""
         now = self._clock.monotonic()
         partials: list[Partial] = []
         if now >= self._checkpoint_at:
@@ -130,7 +137,11 @@
             partials = []
 
     def _commit_some(self, partials: list[Partial]) -> bool:
-        """Commit a transaction's worth; tell whether there was any."""
+        """Commit one transaction; return whether there was anything to commit.
+
+        A commit that fails because of the store is logged and left to the
+        next call. Raises HoldLost.
+        """
         ended = self._ended[:MAX_COMMIT]
         behind = self._failures != self._progress.failures
         if not (ended or partials or behind):
@@ -172,7 +183,10 @@
             self.listed.clear()
 
     def _partials(self) -> list[Partial]:
-        """Return outputs that have grown since they were last stored."""
+        """Return checkpoints of items with output since the last checkpoint.
+
+        Outputs that are too long for a row are left out.
+        """
         grown = [
             task
             for task in self._tasks.values()
@@ -200,7 +214,7 @@
     ledger: JobLedger,
     clock: Clock,
 ) -> HeldJob:
-    """Return a job as its holders before this one left it.
+    """Restore a held job from the progress and checkpoints in the store.
 
     Raises NotFound, StoreUnavailable, UnreadableRecord.
     """
@@ -208,8 +222,8 @@
     last = max(progress.listed, default=0)
     if len(items) != head.items or last >= head.items:
         raise UnreadableRecord(
-            f'job {head.id} of {head.items} items has {len(items)},'
-            f' listed up to the one at {last}',
+            f'job {head.id} should have {head.items} items but has'
+            f' {len(items)}; the highest listed index is {last}',
         )
     partials = ledger.partials(head.id)
     return HeldJob(head, progress, items, partials, ledger, clock)
--- a/cactusridge/jobs/hold_writer.py
+++ b/cactusridge/jobs/hold_writer.py
@@ -1,4 +1,4 @@
-"""Writes that hold only as long as nobody else has written."""
+"""Conditional writes whose outcome is determined even after a lost reply."""
 
 import contextlib
 from collections.abc import Sequence
@@ -20,24 +20,25 @@
     WriteUnknown,
 )
 
-# Tries and the pause between them, in seconds, until an unknown outcome
-# is known: over a second, as long as the store may take to answer.
+# Number of retries of a write with an unknown outcome, and the pause between
+# them in seconds. Together they last over a second, the longest time that the
+# store may take to respond.
 TRIES = 8
 PAUSE_S = 0.15
 
 
 class HoldLost(CactusridgeError):
-    """Another entry holds the job now."""
+    """Another entry is now the holder of the job."""
 
     status = 409
     code = 'hold_lost'
 
 
 class HoldWriter:
-    """Writes under conditions and finds out what became of a write."""
+    """Writes rows under conditions and resolves unknown outcomes."""
 
     def __init__(self, table: Table) -> None:
-        """Write to ``table``."""
+        """Write rows to ``table``."""
         self._table = table
 
     def write(
@@ -46,11 +47,14 @@
         writes: Sequence[Write],
         mark: tuple[str, str] | None,
     ) -> int:
-        """Write under conditions, again while the outcome is unknown.
+        """Write rows if the conditions hold; return their new version.
 
-        ``mark`` is the key of a row and the write id put there: if a
-        repeat finds the condition broken, it tells whether an earlier
-        try of this very write broke it.
+        The write is retried while its outcome is unknown. ``mark`` is the
+        key of a written row and the write id in it: if the conditions fail
+        on a retry, the write id in the stored row shows whether an earlier
+        attempt of this write succeeded. Raises HoldLost if the conditions
+        fail for another reason, StoreUnavailable if nothing was written,
+        and OutcomeUnknown if the outcome stays unknown.
         """
         try:
             return self._table.transact(conditions, writes, Priority.commit)
@@ -65,13 +69,15 @@
         writes: Sequence[Write],
         mark: tuple[str, str] | None,
     ) -> int:
-        """Repeat a write whose outcome is unknown until it is known."""
+        """Retry a write until its outcome is known; raise OutcomeUnknown."""
         for _ in range(TRIES):
             gevent.sleep(PAUSE_S)
-            # Neither says what became of the earlier try.
+            # Neither error shows the outcome of the earlier attempt.
             with contextlib.suppress(WriteUnknown, StoreUnavailable):
                 return self._repeat(conditions, writes, mark)
-        raise OutcomeUnknown('the store did not say', retry_after_s=PAUSE_S)
+        raise OutcomeUnknown(
+            'the store did not confirm the write', retry_after_s=PAUSE_S
+        )
 
     def _repeat(
         self,
@@ -93,8 +99,9 @@
         key, write_id = mark or (writes[0].key, '')
         row = self._table.read([key], Priority.lease)[0]
         if row.unreadable:
-            # It may have been written over after this write took effect.
-            raise OutcomeUnknown(f'{key} cannot be read') from exc
+            # Another writer may have replaced the row after this write
+            # succeeded.
+            raise OutcomeUnknown(f'the row {key} is unreadable') from exc
         found = row.value or {}
         mine = (
             found.get('write_id') == write_id
--- a/cactusridge/jobs/intake.py
+++ b/cactusridge/jobs/intake.py
@@ -1,9 +1,8 @@
-"""Whether this entry can take a new job now, and what to say if not.
+"""Rejects new jobs at once while this entry cannot reach the store.
 
-Answers outages of the store for one entry or for all: a job can be
-accepted only once it is stored, and a submission that waits for a store
-that is known to be lost uses up the time in which another entry could
-have taken it.
+A job is accepted only after it has been stored. If this entry made a
+submission wait for a store that is known to be unreachable, the wait would
+use up the time in which another entry could have accepted the job.
 """
 
 from collections.abc import Callable
@@ -12,32 +11,34 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
 
-# A peer's word that it has the store holds for three of its repeats, in
-# seconds.
+# Time in seconds for which a peer's report that it reaches the store stays
+# valid: three intervals of the report.
 WORD_AGE_S = 1.6
-# Another entry has the store: a new connection most likely reaches one.
+# Retry-After in seconds while a peer reaches the store: the caller's next
+# connection most likely goes to such a peer.
 ELSEWHERE_RETRY_S = 0.05
-# No peer has it either: an outage for all seldom ends sooner, and callers
-# with a few seconds left still wait it out.
+# Retry-After in seconds while no peer reaches the store: an outage of the
+# whole store seldom ends sooner, and a caller with a few seconds left before
+# its deadline can still retry.
 LOST_RETRY_S = 1.0
 
 
 class Intake:
-    """Refuses jobs while the store is lost, without asking it."""
+    """Rejects jobs without a call to the store while it is unreachable."""
 
     def __init__(self, store_lost: Callable[[], bool], clock: Clock) -> None:
-        """``store_lost`` tells whether the store has stopped answering."""
+        """``store_lost`` returns whether the store has stopped responding."""
         self._store_lost = store_lost
         self._clock = clock
         self._heard_at: float | None = None
 
     def heard(self, has_store: bool) -> None:
-        """Take a peer's word on whether the store answers it."""
+        """Record a peer's report on whether it reaches the store."""
         if has_store:
             self._heard_at = self._clock.monotonic()
 
     def check(self, job_id: str) -> None:
-        """Return if the job may be tried; raise StoreUnavailable."""
+        """Raise StoreUnavailable if this entry cannot reach the store."""
         if not self._store_lost():
             return
         elsewhere = self.better_elsewhere()
@@ -49,14 +50,16 @@
             peer_has_store=elsewhere,
             retry_after_s=retry_s,
         )
-        raise StoreUnavailable('the store is lost', retry_after_s=retry_s)
+        raise StoreUnavailable(
+            'the store is unreachable', retry_after_s=retry_s
+        )
 
     def better_elsewhere(self) -> bool:
-        """Tell whether a peer can take the jobs that this entry cannot.
+        """Return whether a peer reaches the store and this entry does not.
 
-        While this holds new callers are better sent to another entry:
-        with a third of eight entries turned away by the store, a caller
-        who tries twice meets two of them once in eight times.
+        If so, new callers should be sent to another entry: if a third of
+        eight entries cannot reach the store, one in eight callers that try
+        twice connects to two of these entries.
         """
         if self._heard_at is None or not self._store_lost():
             return False
--- a/cactusridge/jobs/item_run.py
+++ b/cactusridge/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One item of a batch job, over as many runs as it takes."""
+"""Runs an item of a batch job, resuming its output over several runs."""
 
 import enum
 from typing import NamedTuple
@@ -21,16 +21,22 @@
 OK = 200
 UNPROCESSABLE = 422
 SERVER_FAULT = 500
-# Seconds without a byte after which a run goes on elsewhere: far over
-# the wait of a full queue at a replica and the pauses of a full engine.
+# Read timeout of a run in seconds, after which the item is resumed in another
+# run. It is far longer than the wait in a full queue of a replica and the
+# pauses of a fully loaded engine.
 SILENCE_S = 3.0
-# Time handed to a replica with a run, in seconds: an item that needs
-# longer goes on from its last event in another run.
+# Deadline of one run in seconds, which is sent to the replica. An item that
+# takes longer is resumed after its last event in another run.
 RUN_LIMIT_S = 60.0
 
 
 class RunEnd(enum.Enum):
-    """How one run of an item ended."""
+    """Outcome of one run of an item.
+
+    ``completed`` is a whole output, ``impossible`` a genuine 422 of the
+    upstream and ``failed`` a genuine 500. After ``interrupted`` the item
+    is resumed, and the run does not count as a failure of the item.
+    """
 
     completed = 'completed'
     impossible = 'impossible'
@@ -39,7 +45,7 @@
 
 
 class ItemTask:
-    """An item and what there is of its output."""
+    """An item of a held job and its output so far."""
 
     def __init__(
         self,
@@ -49,7 +55,7 @@
         host: str,
         organisation: str = '',
     ) -> None:
-        """Start with no output; ``body`` is the item's, decoded."""
+        """Start with no output; ``body`` is the decoded body of the item."""
         self.index = index
         self.item = item
         self.body = body
@@ -61,31 +67,31 @@
             body,
         )
         self.failures = 0
-        # The last run broke or fell silent: the next one goes out on a
+        # Whether the last run was interrupted; if so, the next one uses a
         # new connection.
         self.interrupted = False
         self.texts: list[str] = []
         self.last_id: str | None = None
-        # The event up to which the output is in the store.
+        # Id of the last event in the stored checkpoint.
         self.stored_id: str | None = None
 
     def restore(self, last_id: str, output: str) -> None:
-        """Go on from what an earlier holder had."""
+        """Restore the output from the checkpoint of an earlier holder."""
         self.texts = [output]
         self.last_id = last_id
 
     @property
     def events(self) -> int:
-        """How many events of output there are; they are counted from 1."""
+        """Number of output events so far; event ids count from 1."""
         return int(self.last_id or 0)
 
     def output(self) -> str:
-        """Return the data of all events so far, a line each."""
+        """Return the data of all events so far, one line per event."""
         return '\n'.join(self.texts)
 
 
 class ItemRun(NamedTuple):
-    """Runs an item once at a replica."""
+    """One run of an item at a replica."""
 
     task: ItemTask
     head: JobHead
@@ -93,7 +99,10 @@
     clock: Clock
 
     def go(self, replica: Replica) -> RunEnd:
-        """Run from the last event on; never raises a typed failure."""
+        """Run the item from its last event on and return the outcome.
+
+        A CactusridgeError is not raised but returned as ``interrupted``.
+        """
         end = self._run(replica)
         self.task.interrupted = end == RunEnd.interrupted
         return end
@@ -156,14 +165,17 @@
                 self._take(event.id, event.payload)
             received = run.read(SILENCE_S)
         if splitter.pending:
-            raise TruncatedReply('the stream ended within an event')
+            raise TruncatedReply('the stream ended in the middle of an event')
 
     def _take(self, event_id: str | None, payload: str) -> None:
-        """Keep one event; it has to be the one after the last."""
+        """Append one event to the output.
+
+        Raises CrossedReply if it does not follow the last event.
+        """
         last = self.task.last_id
         if event_id is None:
-            raise CrossedReply('an event without an id')
+            raise CrossedReply('the stream has an event without an id')
         if last is not None and int(event_id) != int(last) + 1:
-            raise CrossedReply(f'event {event_id} after {last}')
+            raise CrossedReply(f'event {event_id} does not follow event {last}')
         self.task.texts.append(payload)
         self.task.last_id = event_id
--- a/cactusridge/jobs/janitor.py
+++ b/cactusridge/jobs/janitor.py
@@ -1,4 +1,4 @@
-"""Removes jobs that are over and that nobody may read any more."""
+"""Removes finished jobs from the store after their retention time."""
 
 from cactusridge import events, logs
 from cactusridge.errors import CactusridgeError
@@ -8,18 +8,18 @@
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.store.store_clock import MS, StoreClock
 
-# How often an entry looks for such jobs, in seconds.
+# Interval in seconds at which an entry checks for jobs to remove.
 LOOK_S = 10.0
-# Kept this much longer than promised, in seconds: the promise counts
-# from the submission as its caller knows it.
+# Time in seconds for which jobs are kept beyond the promised retention, which
+# counts from the submission by the caller's clock.
 MARGIN_S = 60.0
-# Removed in one look, so that a pile of old jobs takes no more than a few
-# of the store's calls a second.
+# Maximum number of jobs removed in one check, so that many expired jobs cause
+# only a few calls to the store per second.
 MAX_AT_ONCE = 10
 
 
 class Janitor:
-    """Removes each old job from one entry, the first by rank."""
+    """Removes expired jobs; the first entry by rank removes each one."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         store_clock: StoreClock,
         keep_s: float,
     ) -> None:
-        """Keep jobs for ``keep_s`` seconds from their submission."""
+        """Keep jobs for at least ``keep_s`` seconds after their submission."""
         self._ledger = ledger
         self._heads = heads
         self._orphans = orphans
@@ -37,7 +37,7 @@
         self._keep_s = keep_s + MARGIN_S
 
     def look(self) -> None:
-        """Remove some jobs that are due."""
+        """Remove a limited number of expired jobs."""
         due = [head for head in self._heads.every() if self._is_due(head)]
         for head in due[:MAX_AT_ONCE]:
             self._remove(head)
--- a/cactusridge/jobs/keys.py
+++ b/cactusridge/jobs/keys.py
@@ -1,42 +1,43 @@
-"""Where a job's rows are in the store."""
+"""Keys of the rows that store a job."""
 
 from cactusridge.jobs.model import SHARDS, shard_of
 
-# Digits in the keys of unfinished outputs and of results.
+# Number of digits of the item index in the keys of checkpoints, and of the
+# position in the keys of results.
 INDEX_DIGITS = 4
 POSITION_DIGITS = 6
 
 
 def head_prefixes() -> list[str]:
-    """Return the prefixes below which the heads of all jobs are."""
+    """Return the prefixes that cover the keys of all job heads."""
     return [f'jobs/s{number}/' for number in range(SHARDS)]
 
 
 def head_key(job_id: str) -> str:
-    """Return the key of a job's head."""
+    """Return the key of the row with a job's head."""
     return f'jobs/{shard_of(job_id)}/{job_id}'
 
 
 def progress_key(job_id: str) -> str:
-    """Return the key of a job's progress."""
+    """Return the key of the row with a job's progress."""
     return f'progress/{shard_of(job_id)}/{job_id}'
 
 
 def payload_prefix(job_id: str) -> str:
-    """Return the prefix of the rows with a job's items."""
+    """Return the key prefix of the rows with a job's items."""
     return f'payload/{shard_of(job_id)}/{job_id}.'
 
 
 def result_prefix(job_id: str) -> str:
-    """Return the prefix of the rows with a job's results."""
+    """Return the key prefix of the rows with a job's results."""
     return f'results/{shard_of(job_id)}/{job_id}.'
 
 
 def partial_key(job_id: str, index: int) -> str:
-    """Return the key of an item's unfinished output."""
+    """Return the key of the row with the checkpoint of an item."""
     return f'{partial_prefix(job_id)}{index:0{INDEX_DIGITS}}'
 
 
 def partial_prefix(job_id: str) -> str:
-    """Return the prefix of the rows with unfinished outputs."""
+    """Return the key prefix of the rows with a job's checkpoints."""
     return f'partial/{shard_of(job_id)}/{job_id}.'
--- a/cactusridge/jobs/ledger.py
+++ b/cactusridge/jobs/ledger.py
@@ -1,9 +1,10 @@
-"""The ledger of batch jobs: rows of the store under conditions.
+"""Stores batch jobs as rows that are written in conditional transactions.
 
-A job's rows share a part of their tables, so that one transaction covers
-them. Every write of a holder depends on the version of the progress row,
-which a take-over changes: a holder that has lost the job cannot list a
-result, whatever it believes.
+All rows of a job have the same shard in their keys, so that one transaction
+can write them. Every write of a holder is conditional on the version of the
+progress row, and a takeover changes that version. An entry that has lost a
+job therefore cannot commit a result, even if it still counts itself as the
+holder.
 """
 
 import contextlib
@@ -56,20 +57,22 @@
 from cactusridge.store.unreadable import UnreadableRecord
 from cactusridge.store.writer import insert_once
 
-# Results in one transaction; of at most some 23 KB each they stay well
-# under a transaction's megabyte and hundred rows.
+# Maximum number of results in one transaction. A result takes at most about
+# 23 KB, so they stay well below the limits of the store for one transaction:
+# one megabyte and 100 rows.
 MAX_COMMIT = 20
-# Readings of a head that changes while its job is ended; only a take-over
-# changes it, and that seldom twice in a row.
+# Maximum number of attempts to end a job whose head changes between the read
+# and the write. Only a takeover changes it, seldom twice in a row.
 END_TRIES = 8
-# Rows removed in one transaction; the store takes a hundred.
+# Maximum number of rows removed in one transaction; the store allows 100.
 MAX_REMOVED = 90
-# Characters of unfinished output that a row takes, whatever they are.
+# Maximum length in characters of a checkpoint's output: a row of the store
+# holds that many characters of any kind.
 MAX_PARTIAL_CHARS = 15_000
 
 
 class JobLedger:
-    """Accepts, takes, commits, ends and reads jobs."""
+    """Stores, reads, takes over, commits, ends and removes jobs."""
 
     def __init__(
         self,
@@ -77,7 +80,7 @@
         objects: ObjectStore,
         clock: Clock,
     ) -> None:
-        """Keep everything in ``table``, large payloads in ``objects``."""
+        """Store rows in ``table`` and large payloads in ``objects``."""
         self._table = table
         self._writer = HoldWriter(table)
         self._payloads = Payloads(table, objects)
@@ -90,10 +93,11 @@
         head: JobHead,
         items: Sequence[JobItem],
     ) -> JobHead:
-        """Store a job; return its head, which may be that of a resend.
+        """Store a job and return its head.
 
-        Raises StoreUnavailable if nothing was stored, OutcomeUnknown if
-        that could not be found out.
+        If a job with this id is stored already, return that job's head.
+        Raises StoreUnavailable if nothing was stored, and OutcomeUnknown
+        if it is not known whether the job was stored.
         """
         write_id = new_id('w', self._clock)
         fresh = Progress([], {}, write_id)
@@ -109,7 +113,7 @@
         try:
             return self.head(head.id)
         except (StoreUnavailable, UnreadableRecord) as exc:
-            # It is stored: nothing may be said that means it is not.
+            # The job is stored, so the error must not imply that it is not.
             raise OutcomeUnknown(str(exc), retry_after_s=1) from exc
 
     def head(self, job_id: str) -> JobHead:
@@ -124,7 +128,7 @@
         return head
 
     def progress(self, job_id: str) -> Progress:
-        """Return what is committed of a job.
+        """Return the committed progress of a job.
 
         Raises NotFound, StoreUnavailable, UnreadableRecord.
         """
@@ -142,15 +146,22 @@
         return self._payloads.read(job_id)
 
     def partials(self, job_id: str) -> list[Partial]:
-        """Return the unfinished outputs of a job's items.
+        """Return the checkpoints of a job's items.
 
-        One that cannot be read is left out: its item starts anew.
+        An unreadable checkpoint is left out, and its item starts again
+        without output. Raises StoreUnavailable.
         """
         rows = self._table.scan(partial_prefix(job_id), Priority.commit)
         return list(self._reader.readable(rows, partial_in))
 
     def take(self, head: JobHead, holder: str, life: str) -> JobHead:
-        """Become the holder; raise HoldLost if another was faster."""
+        """Make ``holder`` the holder of a job and return the new head.
+
+        ``life`` is the incarnation of the holder's process. Raises
+        HoldLost if another entry has changed the job since ``head`` was
+        read, and NotFound, StoreUnavailable, OutcomeUnknown or
+        UnreadableRecord.
+        """
         progress = self.progress(head.id)
         taken = head._replace(holder=holder, life=life)
         write_id = new_id('w', self._clock)
@@ -169,7 +180,10 @@
         return self.head(head.id)
 
     def release(self, head: JobHead) -> None:
-        """Let any other entry take the job; raise HoldLost."""
+        """Clear the holder so that any entry may take over the job.
+
+        Raises HoldLost if the head has changed since it was read.
+        """
         self._put_head(head._replace(holder='', life=''))
 
     def commit(
@@ -178,10 +192,11 @@
         progress: Progress,
         step: Step,
     ) -> Progress:
-        """Take ``step`` from ``progress``; raise HoldLost.
+        """Commit ``step`` after ``progress`` and return the new progress.
 
-        Raises StoreUnavailable or OutcomeUnknown if it has to be tried
-        again, with the same results in the same order.
+        Raises HoldLost if another entry has taken over the job. Raises
+        StoreUnavailable or OutcomeUnknown if the caller has to retry with
+        the same results in the same order.
         """
         following = progress_after(progress, step, new_id('w', self._clock))
         version = self._writer.write(
@@ -192,30 +207,41 @@
         return following._replace(version=version)
 
     def end(self, job_id: str) -> JobHead:
-        """End a job; repeating it is harmless. Raises NotFound."""
+        """End a job and return its head; ending an ended job has no effect.
+
+        Raises NotFound, StoreUnavailable, UnreadableRecord, and
+        OutcomeUnknown if the head changed between each read and write.
+        """
         for _ in range(END_TRIES):
             head = self.head(job_id)
             if head.state == JobState.ended:
                 return head
-            # Where its holder changes meanwhile the newer row counts.
+            # If the holder has changed since the read, the next attempt
+            # reads the newer head.
             with contextlib.suppress(HoldLost):
                 return self._put_head(head._replace(state=JobState.ended))
-        raise OutcomeUnknown('the job changes too fast', retry_after_s=1)
+        raise OutcomeUnknown(
+            'the job changed during every attempt to end it', retry_after_s=1
+        )
 
     def close(self, head: JobHead) -> JobHead:
-        """Note that every item of the job is listed."""
+        """Mark a job whose items are all finished as closed; raise HoldLost."""
         return self._put_head(head._replace(state=JobState.closed))
 
     def results(self, job_id: str, after: int) -> list[Result]:
-        """Return results from position ``after`` on, one if there is one.
+        """Return one or more results from position ``after`` on.
 
-        Raises StoreUnavailable, and UnreadableRecord if the first cannot
-        be read.
+        The list is empty if there is no result at that position yet.
+        Raises StoreUnavailable, and UnreadableRecord if the result at
+        ``after`` is unreadable.
         """
         return self._results.page(job_id, after)
 
     def remove(self, head: JobHead) -> None:
-        """Remove a job that nobody may read any more, its head last."""
+        """Remove all rows of a job whose retention has ended, its head last.
+
+        Raises StoreUnavailable, HoldLost, OutcomeUnknown.
+        """
         writes = self._payloads.drop(head.id)
         for prefix in (result_prefix(head.id), partial_prefix(head.id)):
             rows = scan_all(self._table, prefix, Priority.report)
@@ -233,7 +259,7 @@
         )
 
     def _put_head(self, head: JobHead) -> JobHead:
-        """Write a head over the version that it was read with."""
+        """Replace a head in the store; raise HoldLost if it has changed."""
         version = self._writer.write(
             [Condition(head_key(head.id), head.version)],
             [Write(head_key(head.id), head_value(head))],
--- a/cactusridge/jobs/look_pacer.py
+++ b/cactusridge/jobs/look_pacer.py
@@ -1,4 +1,4 @@
-"""When the batch scheduler looks for items to start or to end."""
+"""Decides when the batch scheduler runs its next scheduling pass."""
 
 import gevent
 from gevent.event import Event
@@ -6,30 +6,34 @@
 from cactusridge.clock import Clock
 from cactusridge.peers.cells import Cells
 
-# With nothing else to wake it the scheduler looks this often: a peer's
-# silence or a replica's recovery frees slots without a word.
+# Maximum time between two scheduling passes, in seconds, while jobs are
+# held. A peer that times out or a replica that recovers frees slots without
+# any message that would wake the scheduler.
 TICK_S = 0.1
-# Without any item to run there is nothing that could be overlooked.
+# Time between two scheduling passes, in seconds, while no job is held and no
+# item is in flight.
 IDLE_TICK_S = 2.0
-# In a large fleet it looks at most this often, in seconds, and not at each
-# datagram of its many peers.
+# Minimum time between two scheduling passes, in seconds, in a fleet of
+# several cells, where the datagrams of many peers would each cause a pass.
 LOOK_EVERY_S = 0.02
 
 
 class LookPacer:
-    """Waits until a look is due."""
+    """Waits until the next scheduling pass is due."""
 
     def __init__(self, clock: Clock, cells: Cells) -> None:
-        """Pace where there are several ``cells``."""
+        """Limit the rate of passes while ``cells`` has more than one cell."""
         self.wake = Event()
         self._clock = clock
         self._cells = cells
         self._looked_at = float(0)
 
     def wait(self, busy: bool) -> None:
-        """Return when something has changed, or after a while.
+        """Wait until ``wake`` is set or the poll interval has passed.
 
-        In a large fleet further changes may come before the look.
+        The interval is shorter if ``busy``. In a fleet of several cells
+        the call waits longer to keep the minimum time between two passes,
+        so that one pass covers all changes up to then.
         """
         self.wake.wait(TICK_S if busy else IDLE_TICK_S)
         due_s = self._looked_at + LOOK_EVERY_S - self._clock.monotonic()
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -1,4 +1,4 @@
-"""Which jobs this entry runs: accepted, taken over, ended, handed on."""
+"""Accepts, takes over, ends and hands over the jobs that this entry runs."""
 
 from collections.abc import Callable
 
@@ -18,12 +18,12 @@
 from cactusridge.peers.exchange import tell_nobody
 from cactusridge.work_meter import Part, spawn
 
-# How often orphaned jobs are looked for, in seconds.
+# Interval in seconds at which an entry polls for orphaned jobs.
 LOOK_S = 0.25
 
 
 class JobManager:
-    """Holds some of the jobs and looks after those that nobody holds."""
+    """Runs the jobs that this entry holds and takes over orphaned jobs."""
 
     def __init__(
         self,
@@ -35,9 +35,10 @@
         clock: Clock,
         peers_heard: Callable[[], bool],
     ) -> None:
-        """Run held jobs with ``scheduler`` while ``session`` lasts.
+        """Run held jobs with ``scheduler``.
 
-        ``peers_heard`` says whether some peers are heard now.
+        ``session`` renews the lease of this entry. ``peers_heard`` returns
+        whether this entry currently receives messages from any peer.
         """
         self.ledger = ledger
         self._session = session
@@ -52,11 +53,11 @@
         self._stopping = False
 
     def tell_through(self, tell: Callable[[str, int], None]) -> None:
-        """Let peers know of a head, by job and version, with ``tell``."""
+        """Announce changed heads to peers with ``tell(job_id, version)``."""
         self._tell_peers = tell
 
     def changed(self, head: JobHead) -> None:
-        """Stop a held job when its newer head says so."""
+        """Stop a held job if a newer head has ended or reassigned it."""
         held = self._scheduler.jobs.get(head.id)
         if held is None:
             return
@@ -65,28 +66,36 @@
             self._drop(held)
 
     def told(self, job_id: str, version: int) -> None:
-        """Give a job up when a peer knows of a newer head than this one.
+        """Check a held job after a peer has announced a newer head of it.
 
-        The store's feed says so too, unless the store turns this entry
-        away: then the peer's word is what stops its items.
+        The store's feed delivers the same change, but not while this entry
+        cannot reach the store. In that case only the peer's announcement
+        stops the items of a job that has ended or has a new holder.
         """
         held = self.held(job_id)
         if held is not None and version > held.head.version:
             spawn(Part.jobs, self._check_hold, held, version)
 
     def held(self, job_id: str) -> HeldJob | None:
-        """Return a job that this entry runs."""
+        """Return the job if this entry runs it, else None."""
         return self._scheduler.jobs.get(job_id)
 
     def held_here(self, head: JobHead) -> JobHead:
-        """Return the head of a job that this entry runs, if it stays."""
+        """Return ``head`` with this entry as holder.
+
+        An entry that is stopping leaves the holder as it is.
+        """
         if self._stopping:
             return head
         me = self._session.me
         return head._replace(holder=me.name, life=me.life)
 
     def accept(self, head: JobHead, items: list[JobItem]) -> JobHead:
-        """Store a job and begin to run it; a resend finds the first."""
+        """Store a job, start it and return its stored head.
+
+        If the job was submitted before, return the head stored then.
+        Raises StoreUnavailable, OutcomeUnknown.
+        """
         stored = self.ledger.accept(head, items)
         logs.emit(
             events.JOB_ACCEPTED,
@@ -102,14 +111,14 @@
         return stored
 
     def end(self, job_id: str) -> None:
-        """End a job for good."""
+        """End a job in the store and announce that to the peers."""
         ended = self.ledger.end(job_id)
         self._tell_peers(ended.id, ended.version)
         logs.emit(events.JOB_CANCELLED, job=job_id, version=ended.version)
         self._heads.note(ended)
 
     def look(self) -> None:
-        """Take over jobs whose holders are gone."""
+        """Update whether items may start, and take over orphaned jobs."""
         if self._stopping:
             return
         if self._may_dispatch():
@@ -125,7 +134,7 @@
                 spawn(Part.jobs, self._take, head)
 
     def stop(self) -> None:
-        """Hand every job to the other entries."""
+        """Stop all jobs and hand them over to the other entries."""
         self._stopping = True
         self._scheduler.may_dispatch.clear()
         held = list(self._scheduler.jobs.values())
@@ -133,19 +142,21 @@
         gevent.joinall([gevent.spawn(self._release, job) for job in held])
 
     def _may_dispatch(self) -> bool:
-        """Tell whether items may start.
+        """Return whether items may start.
 
-        Without the store another entry may have taken or ended a job;
-        while the peers are heard they say so, and until then the store
-        is most likely away for all.
+        While this entry cannot reach the store, another entry may take
+        over or end its jobs. A reachable peer announces such changes, so
+        items may start while peers are reachable. Without such an
+        announcement the store is most likely unreachable for all entries.
         """
         return self._session.may_dispatch() or self._peers_heard()
 
     def _take(self, head: JobHead) -> None:
-        """Become the holder of an orphaned job and run it."""
+        """Take over an orphaned job and run it."""
         me = self._session.me
         try:
-            # Read first: who cannot run a job does not become its holder.
+            # The items are read first, so that an entry that cannot read them
+            # does not become the holder.
             items = self.ledger.items(head.id)
             taken = self.ledger.take(head, me.name, me.life)
         except CactusridgeError as exc:
@@ -165,21 +176,26 @@
         self._begin(taken, items)
 
     def _check_hold(self, held: HeldJob, version: int) -> None:
-        """Read a job's head; without the store, believe the peer."""
+        """Read the head of a held job after a peer's announcement.
+
+        ``version`` is the announced version. If the known head is still
+        older after the read, because the store cannot be reached, the job
+        is dropped on the announcement alone.
+        """
         self._refresh(held.head.id)
         if held.head.version < version and not held.stopped:
             logs.emit(events.HOLD_LOST, job=held.head.id)
             self._drop(held)
 
     def _refresh(self, job_id: str) -> None:
-        """Read a job's head anew; the follower may be behind."""
+        """Read a job's head from the store, since the feed may lag behind."""
         try:
             self._heads.note(self.ledger.head(job_id))
         except CactusridgeError as exc:
             logs.emit(events.TAKE_FAILED, job=job_id, error=str(exc))
 
     def _begin(self, head: JobHead, items: list[JobItem]) -> None:
-        """Run a job until it is done, ended or lost."""
+        """Run a job until it completes, ends or has another holder."""
         try:
             held = restored_job(head, items, self.ledger, self._clock)
         except CactusridgeError as exc:
@@ -191,7 +207,7 @@
         if newest.state != JobState.open or not self._orphans.is_mine(newest):
             return
         if self._stopping:
-            # Told to stop while the store was read.
+            # This entry started to stop while the store was being read.
             self._release(held)
             return
         self._scheduler.jobs[head.id] = held
--- a/cactusridge/jobs/model.py
+++ b/cactusridge/jobs/model.py
@@ -1,4 +1,4 @@
-"""A batch job, its items and what becomes of them."""
+"""Data types of a batch job, its items, its progress and its results."""
 
 import enum
 from typing import Any, NamedTuple
@@ -6,11 +6,16 @@
 from cactusridge.hashing import hash64
 from cactusridge.store.fields import Fields
 
+# Number of key prefixes over which the rows of all jobs are spread.
 SHARDS = 8
 
 
 class JobState(enum.StrEnum):
-    """How far a job is."""
+    """State of a job.
+
+    An ``open`` job has items to run, a ``closed`` job has a result for
+    every item, and an ``ended`` job was cancelled by its caller.
+    """
 
     open = 'open'
     ended = 'ended'
@@ -18,7 +23,7 @@
 
 
 class ItemState(enum.StrEnum):
-    """How an item ended."""
+    """Final state of an item."""
 
     completed = 'completed'
     given_up = 'given_up'
@@ -35,15 +40,16 @@
 
 
 class JobHead(NamedTuple):
-    """What every entry knows of a job.
-
-    ``holder`` is the entry that runs it and ``life`` the incarnation of
-    its process; an empty holder means that any entry may take the job.
-    ``created_ms`` is the store's clock at the submission. ``version``
-    is that of the row, 0 for a job that is not in the store yet.
-    ``catalog_version`` is that of the configuration under which it was
-    accepted: an older one says nothing of its route. ``organisation`` is
-    the name of its callers', empty where they have none.
+    """Header of a job; every entry keeps a copy of it.
+
+    ``holder`` is the name of the entry that runs the job and ``life`` the
+    incarnation of that entry's process; any entry may take over a job
+    whose holder is empty. ``created_ms`` is the time of submission by the
+    store's clock, in milliseconds. ``version`` is the version of the row,
+    0 for a job that is not stored yet. ``catalog_version`` is the version
+    of the catalog under which the job was accepted; an older catalog may
+    not have the job's route yet. ``organisation`` is the name of the
+    caller's organisation, empty if the caller has none.
     """
 
     id: str
@@ -60,16 +66,17 @@
 
     @property
     def shard(self) -> str:
-        """Return the part of the tables where the job's rows are."""
+        """Return the key prefix under which the rows of the job are stored."""
         return shard_of(self.id)
 
 
 class Progress(NamedTuple):
-    """What its holder has committed of a job.
+    """Progress of a job that its holder has committed to the store.
 
-    ``listed`` has the item indexes in the order of their results,
-    ``failures`` counts by index the runs that the upstream failed.
-    ``write_id`` tells whose write the row is. ``version`` is the row's.
+    ``listed`` has the indexes of the finished items in the order of their
+    results. ``failures`` maps the index of an item to the number of its
+    runs that failed at the upstream. ``write_id`` identifies the write
+    that produced the row, and ``version`` is the version of the row.
     """
 
     listed: list[int]
@@ -79,7 +86,7 @@
 
 
 class Partial(NamedTuple):
-    """What there is of an item's output; it goes on after ``last_id``."""
+    """Checkpoint of an item: its output up to the event ``last_id``."""
 
     index: int
     last_id: str
@@ -87,7 +94,7 @@
 
 
 class Result(NamedTuple):
-    """A result as callers read it."""
+    """Result of an item as it is returned to callers."""
 
     id: str
     state: ItemState
@@ -95,12 +102,15 @@
 
 
 def shard_of(job_id: str) -> str:
-    """Return the part of the tables where the rows of a job are."""
+    """Return the key prefix under which the rows of a job are stored."""
     return f's{hash64(job_id) % SHARDS}'
 
 
 def head_of(job_id: str, raw: dict[str, Any], version: int) -> JobHead:
-    """Return the head in a row's value; raise UnreadableField."""
+    """Parse the head of a job from the value of its row.
+
+    Raises UnreadableField.
+    """
     fields = Fields(raw)
     return JobHead(
         id=job_id,
@@ -118,7 +128,7 @@
 
 
 def head_value(head: JobHead) -> dict[str, Any]:
-    """Return a head as its row's value."""
+    """Return the value of the row that stores ``head``."""
     fields = head._asdict()
     fields.pop('id')
     fields.pop('version')
--- a/cactusridge/jobs/orphans.py
+++ b/cactusridge/jobs/orphans.py
@@ -1,4 +1,4 @@
-"""Jobs without a living holder, and whose turn it is to take them."""
+"""Detects jobs whose holder is dead and chooses the entry to take over."""
 
 from cactusridge import events, logs
 from cactusridge.clock import Clock
@@ -8,34 +8,37 @@
 from cactusridge.jobs.session import Session
 from cactusridge.store.unreadable import UnreadableRecord
 
-# The entry that ranks first for a job takes it at once; each next one
-# waits this much longer, a write and its news at the others.
+# Delay in seconds per rank before an entry takes over an orphaned job: the
+# time for the entry before it to write the new holder and for that write to
+# reach the other entries.
 RANK_DELAY_S = 0.4
-# A job whose rows cannot be read is tried again after this long, in
-# seconds: without a pause, each look of the entry that ranks first, four
-# a second.
+# Pause in seconds before another attempt to take over a job with unreadable
+# rows. Without it the entry of the first rank would retry at every poll, four
+# times a second.
 UNREADABLE_PAUSE_S = 5.0
 
 
 class Orphans:
-    """Says when this entry should take a job over."""
+    """Decides when this entry takes over an orphaned job."""
 
     def __init__(self, session: Session, clock: Clock) -> None:
-        """Judge by what ``session`` knows of the entries."""
+        """Read the live entries from ``session``."""
         self._session = session
         self._clock = clock
         self._since: dict[str, float] = {}
 
     def is_mine(self, head: JobHead) -> bool:
-        """Tell whether this very process is the holder."""
+        """Return whether the holder is this incarnation of this entry."""
         me = self._session.me
         return head.holder == me.name and head.life == me.life
 
     def due(self, head: JobHead) -> bool:
-        """Tell whether a job that this entry does not run is its to take.
+        """Return whether this entry has to take over a job now.
 
-        A job that has this entry as holder and is not run here was lost
-        between its acceptance and the first item.
+        The caller makes sure that this entry does not run the job. If the
+        head still names this entry as holder, the entry failed to start
+        the job after accepting it or taking it over, and the job counts
+        as orphaned.
         """
         if head.state != JobState.open or not self._is_orphan(head):
             self._since.pop(head.id, None)
@@ -45,17 +48,18 @@
         return now - since >= self.rank(head) * RANK_DELAY_S
 
     def not_taken(self, head: JobHead, exc: CactusridgeError) -> None:
-        """Note that a job could not be taken, and say why.
+        """Log a failed takeover of a job.
 
-        One whose rows cannot be read is tried again only after a while:
-        until somebody repairs them each try fails after some reads.
+        If rows of the job are unreadable, the next attempt is delayed,
+        since each attempt costs some reads and fails until the rows are
+        repaired.
         """
         logs.emit(events.TAKE_FAILED, job=head.id, error=str(exc))
         if isinstance(exc, UnreadableRecord):
             self._since[head.id] = self._clock.monotonic() + UNREADABLE_PAUSE_S
 
     def rank(self, head: JobHead) -> int:
-        """Return this entry's place among those that may see to a job."""
+        """Return this entry's rank for a job among the live entries, from 0."""
         live = [member.name for member in self._session.members()]
         ranked = rendezvous(live, hash64(head.id))
         return ranked.index(self._session.me.name)
--- a/cactusridge/jobs/payloads.py
+++ b/cactusridge/jobs/payloads.py
@@ -1,4 +1,4 @@
-"""The items of a job as they are kept: rows, or an object if they are large."""
+"""Stores the items of a job in rows, or in one object if they are large."""
 
 import base64
 import re
@@ -16,9 +16,9 @@
 from cactusridge.store.table import Priority, Row, Table, Write
 from cactusridge.store.unreadable import UnreadableField
 
-# Characters that go into rows. With their base64 and JSON they stay under
-# the megabyte of a transaction; more goes into an object, which takes a
-# call of its own and 25 ms.
+# Maximum number of characters stored in rows. Encoded in base64 and JSON they
+# stay below one megabyte, the limit of a transaction. Longer payloads go into
+# an object, which costs an extra call of 25 ms.
 INLINE_CHARS = 500_000
 OBJECT = 'object'
 TEXT = 'text'
@@ -26,10 +26,10 @@
 
 
 class Payloads:
-    """Stores and reads the items of jobs."""
+    """Writes, reads and removes the items of jobs."""
 
     def __init__(self, table: Table, objects: ObjectStore) -> None:
-        """Keep them in ``table`` and, where they are large, ``objects``."""
+        """Store items in ``table``, and large payloads in ``objects``."""
         self._table = table
         self._objects = objects
         self._reader = RowReader()
@@ -40,10 +40,10 @@
         items: Sequence[JobItem],
         unique: str,
     ) -> list[Write]:
-        """Return the rows to write with a job's head.
+        """Return the rows with the items, to be written with the head.
 
-        A large payload is put in the object store first, under a name
-        with ``unique`` in it, so that no other submission can replace
+        A large payload is first put into the object store. The name of its
+        object includes ``unique``, so that no other submission can replace
         it. Raises StoreUnavailable.
         """
         text = wire.encode([list(item) for item in items]).decode()
@@ -74,7 +74,10 @@
             self._reader.refuse(rows[0], str(exc))
 
     def drop(self, job_id: str) -> list[Write]:
-        """Return the writes that remove a job's items; drop its object."""
+        """Delete the object of a job and return writes that delete its rows.
+
+        Raises StoreUnavailable.
+        """
         rows = self._table.scan(payload_prefix(job_id), Priority.report)
         for piece in self._reader.readable(rows, _piece):
             if piece.object_name:
@@ -82,43 +85,45 @@
         return [Write(row.key, None) for row in rows]
 
     def _is_ours(self, row: Row, prefix: str) -> bool:
-        """Tell whether a row's key is one of a payload's; log others."""
+        """Return whether a row's key is that of a payload; log it if not."""
         ours = row.key.removeprefix(prefix).isdecimal()
         if not ours:
-            self._reader.report(row, 'no place of items')
+            self._reader.report(row, 'the key is not that of a payload row')
         return ours
 
     def _raw(self, rows: list[Row]) -> bytes:
-        """Return the bytes of a payload; raise UnreadableRecord."""
+        """Join the rows of a payload; raise UnreadableRecord."""
         pieces = [self._reader.read(row, _piece) for row in rows]
         numbers = [row.key.rpartition('.')[-1] for row in rows]
         wanted = [f'{number:04}' for number in range(len(rows))]
         if None in pieces or numbers != wanted:
-            self._reader.refuse(rows[0], f'the rows are {numbers}')
+            self._reader.refuse(
+                rows[0], f'the rows of the payload are {numbers}'
+            )
         name = pieces[0].object_name
         if not name:
             return ''.join(piece.text for piece in pieces).encode()
         try:
             return self._objects.get(name)
         except NotFound:
-            self._reader.refuse(rows[0], f'no object {name}')
+            self._reader.refuse(rows[0], f'the object {name} does not exist')
 
 
 class Piece(NamedTuple):
-    """A row of a payload: a text, or the name of an object instead."""
+    """Content of a payload row: a piece of text or the name of an object."""
 
     text: str
     object_name: str
 
 
 def items_in(raw: bytes) -> list[JobItem]:
-    """Return the items in a payload's bytes; raise UnreadableField."""
+    """Parse the items from the bytes of a payload; raise UnreadableField."""
     try:
         entries = wire.decode(raw)
     except BadRequest as exc:
         raise UnreadableField(str(exc)) from exc
     if not isinstance(entries, list):
-        raise UnreadableField('the items are no list')
+        raise UnreadableField('the items are not a list')
     return [_item(entry) for entry in entries]
 
 
@@ -130,15 +135,17 @@
 
 def _item(entry: Any) -> JobItem:
     if not isinstance(entry, list) or len(entry) != len(JobItem._fields):
-        raise UnreadableField('an item is no list of its fields')
+        raise UnreadableField('an item is not a list of its fields')
     fields = Fields(dict(zip(JobItem._fields, entry, strict=True)))
     body = fields.text('body')
     if not BASE64.fullmatch(body):
-        raise UnreadableField('the body of an item is no base64')
+        raise UnreadableField('the body of an item is not base64')
     try:
         base64.b64decode(body)
     except ValueError as exc:
-        raise UnreadableField(f'the body of an item: {exc}') from exc
+        raise UnreadableField(
+            f'the body of an item is not base64: {exc}'
+        ) from exc
     return JobItem(
         fields.text('id'),
         fields.text('path'),
--- a/cactusridge/jobs/pieces.py
+++ b/cactusridge/jobs/pieces.py
@@ -1,11 +1,14 @@
-"""Texts cut to the size of a row."""
+"""Splits long texts into pieces that fit into rows of the store."""
 
-# Characters of JSON text in one row; the store's rows hold 65,536 bytes,
-# and a character may take four.
+# Maximum length of the JSON text in one row. A row of the store holds at
+# most 65,536 bytes, and one character may take four bytes.
 PIECE_CHARS = 16_000
 
 
 def cut(text: str) -> list[str]:
-    """Return ``text`` in pieces that fit a row, one at least."""
+    """Split ``text`` into pieces that fit into a row.
+
+    An empty text gives one empty piece.
+    """
     starts = range(0, max(1, len(text)), PIECE_CHARS)
     return [text[start : start + PIECE_CHARS] for start in starts]
--- a/cactusridge/jobs/policies.py
+++ b/cactusridge/jobs/policies.py
@@ -1,4 +1,4 @@
-"""The decisions on batch items that the start settings name."""
+"""Batch scheduling policies selected in the start-up settings."""
 
 from types import MappingProxyType
 from typing import NamedTuple
@@ -14,12 +14,12 @@
 
 
 class BatchPolicies(NamedTuple):
-    """Which item starts first, and who gets a slot that several want."""
+    """Policies for the order of items and for contended slots."""
 
     urgency: Urgency
     claims: ClaimRule
 
 
 def make_policies(names: DirectPolicy) -> BatchPolicies:
-    """Return the decisions that ``names`` chooses."""
+    """Return the policies named in ``names``."""
     return BatchPolicies(URGENCIES[names.items](), CLAIMS[names.claims]())
--- a/cactusridge/jobs/running.py
+++ b/cactusridge/jobs/running.py
@@ -1,4 +1,4 @@
-"""A run of a batch item that is under way."""
+"""The record of a batch item in flight."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,11 @@
 
 
 class Running(NamedTuple):
-    """An item at a replica."""
+    """A batch item in flight at a replica.
+
+    ``started_at`` is in seconds of the monotonic clock. ``events_before``
+    is the number of output events from earlier runs of the item.
+    """
 
     job: HeldJob
     task: ItemTask
@@ -21,5 +25,5 @@
 
     @property
     def events_made(self) -> int:
-        """How many events this run has made so far."""
+        """Number of output events received in this run so far."""
         return self.task.events - self.events_before
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -1,4 +1,4 @@
-"""Starts items where slots are free and ends them where they are not."""
+"""Starts batch items in free slots and preempts them in overfull replicas."""
 
 import contextlib
 
@@ -27,7 +27,7 @@
 
 
 class BatchScheduler:
-    """Runs the items of held jobs in what online requests leave free."""
+    """Runs the items of held jobs in slots that online requests leave free."""
 
     def __init__(
         self,
@@ -38,7 +38,11 @@
         sharing: BatchSharing,
         claims: ClaimRule,
     ) -> None:
-        """Run items in the order of ``line`` where ``sharing`` lets it."""
+        """Run items in the order of ``line``.
+
+        ``sharing`` selects the replicas where this entry runs items, and
+        ``claims`` decides between entries that want the same slot.
+        """
         self._cells = sharing.cells
         self._pacer = LookPacer(clock, self._cells)
         self.wake = self._pacer.wake
@@ -55,11 +59,11 @@
 
     @property
     def loads(self) -> LoadTable:
-        """Return the counts that decisions are made from."""
+        """Request counts of all entries by replica."""
         return self._runner.loads
 
     def depths(self) -> dict[str, int]:
-        """Return how many jobs are held, and items wait and run."""
+        """Return the numbers of held jobs and of items waiting and running."""
         return {
             'jobs_held': len(self.jobs),
             'items_waiting': sum(
@@ -69,7 +73,7 @@
         }
 
     def step(self) -> None:
-        """Yield and start when something has changed, or after a while."""
+        """Wait until a pass is due, then preempt and start items."""
         self._pacer.wait(self._busy())
         METER.steps['scheduler_looks'] += 1
         self.make_room()
@@ -77,12 +81,12 @@
             self.start_items()
 
     def loads_changed(self) -> None:
-        """Look again if there is anything to yield or to start."""
+        """Wake the scheduler after a change of the counts if it has items."""
         if self._busy():
             self.wake.set()
 
     def make_room(self) -> None:
-        """End the newest items at replicas that are over their slots."""
+        """Preempt the newest items at replicas that exceed their slots."""
         replicas = {each.replica.life: each.replica for each in self._running}
         for replica in replicas.values():
             loads = self._loads_at(replica)
@@ -91,7 +95,7 @@
                 self._end_newest(replica, count)
 
     def start_items(self) -> None:
-        """Start waiting items, the most urgent first, while there is room."""
+        """Claim free slots for the waiting items, the most urgent first."""
         full = set()
         for waiting in self._line.urgent_first(self.jobs.values()):
             if waiting.route.name in full:
@@ -103,14 +107,14 @@
                 self._claim(waiting, replica)
 
     def stop_job(self, job_id: str) -> None:
-        """End what runs of a job and forget it."""
+        """Drop a job and stop its items in flight."""
         self.jobs.pop(job_id, None)
         for each in list(self._running):
             if each.job.head.id == job_id:
                 each.greenlet.kill(block=False)
 
     def stop_all(self) -> None:
-        """End everything that runs."""
+        """Drop all jobs and stop their items in flight."""
         for job_id in list(self.jobs):
             self.stop_job(job_id)
 
@@ -118,10 +122,11 @@
         return bool(self.jobs or self._running)
 
     def _claim(self, waiting: Waiting, replica: Replica) -> None:
-        """Tell the peers that an item is about to start."""
+        """Announce to the peers a claim on a slot for an item."""
         waiting.job.pending.pop(waiting.task.index)
         claim = contextlib.ExitStack()
-        # Counted at once: the next choice sees it.
+        # The claim is counted at once so that the choice of a replica for
+        # the next item takes it into account.
         claim.enter_context(self.loads.running(replica.life, WorkKind.claim))
         METER.steps['claims'] += 1
         spawn(Part.claims, self._settle, waiting, replica, claim)
@@ -132,7 +137,7 @@
         replica: Replica,
         claim: contextlib.ExitStack,
     ) -> None:
-        """Start an item if its claim is kept, else let it wait on."""
+        """Start an item if its claim is granted, else return it to waiting."""
         gevent.sleep(self._claims.wait_s(self._cells.several))
         loads = self._loads_at(replica)
         life = replica.life
@@ -145,17 +150,18 @@
             waiting.job.pending[waiting.task.index] = waiting.task
 
     def _may_start(self, job: HeldJob, replica: Replica) -> bool:
-        """Tell whether a claimed slot is still there to be used.
+        """Return whether an item may use the slot that it has claimed.
 
-        The replica may have started again or gone while the claim was
-        told; its slots are then another life's, and claimed anew.
+        Since the claim was announced, the job may have been dropped or
+        starts suspended. The replica may have left, or restarted: the
+        slots of its new incarnation need new claims.
         """
         if self._fleet.get(replica.life) is None:
             return False
         return job.head.id in self.jobs and self.may_dispatch.is_set()
 
     def _loads_at(self, replica: Replica) -> dict[str, Load]:
-        """Return each entry's counts at a replica."""
+        """Return the request counts at a replica, keyed by entry."""
         loads = self.loads.peers_at(replica.life)
         loads[self._name] = self.loads.own(replica.life)
         return loads
@@ -214,7 +220,7 @@
         self.wake.set()
 
     def _learn(self, running: Running, route: Route) -> None:
-        """Note how long a run took, and an item that is done."""
+        """Record the run time of a run, and of an item that has completed."""
         pace = self._line.pace(route)
         took_s = self._clock.monotonic() - running.started_at
         pace.ran(running.events_made, took_s)
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -1,4 +1,4 @@
-"""Which entries live, by rows that each renews in the store."""
+"""Membership of entries, based on leases that each renews in the store."""
 
 import secrets
 from collections.abc import Callable
@@ -16,22 +16,26 @@
 from cactusridge.store.unreadable import UnreadableField, UnreadableRecord
 
 PREFIX = 'members//'
-# Renewals and readings, one of each a second and entry: two of the
-# store's calls, of some thousands a second.
+# Interval in seconds between two renewals of an entry's row, each followed by
+# a read of the membership list. Per entry that is two calls per second to the
+# store, which handles some thousands per second.
 RENEW_S = 1.0
-# An entry whose row has not changed for this long is taken for dead: two
-# lost renewals and the time to read a third.
+# Lease in seconds: an entry whose row has not changed for this long counts as
+# dead. The lease covers two lost renewals and the time to read a third one.
 LEASE_S = 3.2
-# A holder sends nothing more this long before others may take its jobs.
+# Safety margin in seconds: an entry stops relying on its lease this long before
+# other entries may take over its jobs.
 MARGIN_S = 0.7
 MAX_PORT = 65_535
 
 
 class Member(NamedTuple):
-    """An entry as its row has it; ``life`` is its process's incarnation.
+    """An entry as described in its row of the membership list.
 
-    ``since_ms`` is the store's time from which on it has been listed
-    without a gap; 0 if its row does not tell.
+    ``life`` is the incarnation of its process. Peers connect to ``host``
+    and ``port``. ``since_ms`` is the time by the store's clock since which
+    the entry has been a member without interruption, in milliseconds; it
+    is 0 if the row does not have it.
     """
 
     name: str
@@ -43,10 +47,11 @@
 
 
 class Seen(NamedTuple):
-    """A member's row version and when it was first read.
+    """A member, the version of its row and when that version was read.
 
-    Without a member its row could never be read; whose it is lives, in
-    whatever incarnation, until a lease has passed.
+    ``seen_at`` is in seconds of the monotonic clock. ``member`` is None if
+    the row has been unreadable since it was found. Its entry then counts
+    as live, in any incarnation, until a lease has passed.
     """
 
     member: Member | None
@@ -55,7 +60,7 @@
 
 
 class Session:
-    """Renews this entry's row and watches the others'."""
+    """Renews this entry's lease and tracks the leases of the others."""
 
     def __init__(
         self,
@@ -66,7 +71,7 @@
         zone: str,
         tenure: Tenure,
     ) -> None:
-        """Live as ``name``; peers reach this entry at ``address``."""
+        """Join the members as ``name``; peers connect to ``address``."""
         self.me = Member(name, secrets.token_hex(8), *address, zone)
         self.renewed_at: float | None = None
         self._tenure = tenure
@@ -77,19 +82,23 @@
         self._read_at: float | None = None
         self._left = False
         self._on_read: Callable[[], None] | None = None
-        # One write at a time: a renewal that reached the store after the
-        # removal would bring the row back for a whole lease.
+        # Serialises the writes of this entry's row: a renewal that reached
+        # the store after the removal would restore the row for a lease.
         self._writing = RLock()
 
     def on_read(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` at once when the list has been read.
+        """Call ``listener`` after each read of the membership list.
 
-        It must not wait: nothing else sees the list before it.
+        The listener must not block or switch greenlets, so that no other
+        greenlet sees the new list before the listener has run.
         """
         self._on_read = listener
 
     def step(self) -> None:
-        """Renew and read once; the store may be away."""
+        """Renew the lease and read the members once.
+
+        Failures of the store are logged and not raised.
+        """
         if self._left:
             return
         try:
@@ -99,23 +108,27 @@
         try:
             self._read()
         except StoreUnavailable as unread:
-            # Nothing can be said of rows that could not be read: the
-            # silence of the others is counted from the next reading.
+            # Without a read, other entries may have renewed their leases
+            # unnoticed: all leases count anew from the next read.
             self._read_at = None
             logs.emit(events.RENEWAL_FAILED, error=str(unread))
 
     def may_dispatch(self) -> bool:
-        """Tell whether no other entry can have taken this one's jobs."""
+        """Return whether no other entry can have taken over this one's jobs.
+
+        That holds as long as this entry's lease, less a safety margin, has
+        not expired.
+        """
         if self.renewed_at is None:
             return False
         held_s = self._clock.monotonic() - self.renewed_at
         return held_s < LEASE_S - MARGIN_S
 
     def in_touch(self) -> bool:
-        """Tell whether the list is read and this entry's row renewed.
+        """Return whether both the last read and the last renewal are recent.
 
-        Whoever else is in touch then knows the same entries, but for
-        those that have come in the last moments.
+        All entries for which this holds know the same members, except for
+        those that joined a few moments ago.
         """
         if self._read_at is None:
             return False
@@ -124,13 +137,14 @@
 
     @property
     def listed(self) -> bool:
-        """Whether the list of entries has been read, with this one in it."""
+        """Whether the members have been read and this entry is one of them."""
         return bool(self._seen) and self.renewed_at is not None
 
     def members(self) -> list[Member]:
-        """Return the entries that live, this one among them.
+        """Return the live members, including this entry.
 
-        While the rows cannot be read these are the ones read last.
+        While the store cannot be read, these are the members known from
+        the last read.
         """
         others = [
             seen.member
@@ -142,9 +156,11 @@
         return [self.me, *others]
 
     def lives(self, name: str, life: str) -> bool:
-        """Tell whether a holder may still be at work.
+        """Return whether the holder of a job may still be running.
 
-        Before the first reading everybody may be.
+        ``name`` is the entry that holds the job and ``life`` its
+        incarnation. Until the members have been read, every holder other
+        than this entry counts as live.
         """
         if name == self.me.name:
             return life == self.me.life
@@ -158,14 +174,20 @@
         return not self._is_silent(seen)
 
     def leave(self) -> None:
-        """Remove this entry's row, so that nobody waits for its lease."""
+        """Remove this entry's row so that others need not await lease expiry.
+
+        Raises StoreUnavailable, WriteUnknown.
+        """
         self._left = True
         write = Write(f'{PREFIX}{self.me.name}', None)
         with self._writing:
             self._table.transact([], [write], Priority.lease)
 
     def _is_silent(self, seen: Seen) -> bool:
-        """Tell whether a row that can be read has not been renewed."""
+        """Return whether the lease of a member has expired.
+
+        A lease does not expire while the members cannot be read.
+        """
         if self._read_at is None:
             return False
         return self._clock.monotonic() - seen.seen_at >= LEASE_S
@@ -219,10 +241,10 @@
         now: float,
         anew: bool,
     ) -> Seen:
-        """Return what a row that cannot be read leaves known.
+        """Return the record of a member whose row has become unreadable.
 
-        It neither renews a lease nor ends one early: somebody else may
-        have written over the row of an entry that lives.
+        An unreadable row neither renews a lease nor ends it early, since
+        another writer may have overwritten the row of a live entry.
         """
         if known is None:
             return Seen(None, row.version, now)
@@ -241,14 +263,14 @@
         fields.whole('since_ms', 0),
     )
     if member.name != row.key.removeprefix(PREFIX):
-        raise UnreadableField(f'it names {member.name}')
+        raise UnreadableField(f'the row names the entry {member.name}')
     if not 0 < member.port <= MAX_PORT:
-        raise UnreadableField(f'port {member.port}')
+        raise UnreadableField(f'port {member.port} is out of range')
     return member
 
 
 def ignore_store_errors(action: Any) -> None:
-    """Do something that may fail with the store; say so if it does."""
+    """Call ``action``; log a CactusridgeError instead of raising it."""
     try:
         action()
     except CactusridgeError as exc:
--- a/cactusridge/jobs/step.py
+++ b/cactusridge/jobs/step.py
@@ -1,4 +1,4 @@
-"""What a holder commits of a job at once, and its rows."""
+"""One commit of a job's progress, and the rows that it writes."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from types import MappingProxyType
@@ -13,9 +13,10 @@
 
 
 class ItemEnd(NamedTuple):
-    """An item that ended, by its index in the job.
+    """A finished item, its index in the job and its result.
 
-    ``checkpointed`` says that unfinished output of it is in the store.
+    ``checkpointed`` tells whether the store has a checkpoint of the item,
+    which has to be removed.
     """
 
     index: int
@@ -24,10 +25,12 @@
 
 
 class Step(NamedTuple):
-    """What a holder commits at once.
+    """Changes that the holder of a job commits in one transaction.
 
-    ``ended`` is listed after what is listed already, ``failures`` are
-    all counts by item index, ``partials`` replace unfinished outputs.
+    The results of ``ended`` are appended to the listed results.
+    ``failures`` maps every item index to its number of failed runs and
+    replaces the stored counts. ``partials`` replace the stored checkpoints
+    of their items.
     """
 
     ended: Sequence[ItemEnd] = ()
@@ -36,24 +39,24 @@
 
 
 def progress_after(progress: Progress, step: Step, write_id: str) -> Progress:
-    """Return ``progress`` with ``step`` taken; the row has no version yet."""
+    """Return ``progress`` after ``step``, without a row version."""
     listed = [*progress.listed, *(end.index for end in step.ended)]
     return Progress(listed, dict(step.failures), write_id)
 
 
 def progress_value(progress: Progress) -> dict[str, Any]:
-    """Return progress as its row's value."""
+    """Return the value of the row that stores ``progress``."""
     fields = progress._asdict()
     fields.pop('version')
     return fields
 
 
 def progress_in(row: Row) -> Progress:
-    """Return the progress in a row; raise UnreadableField."""
+    """Parse the progress of a job from its row; raise UnreadableField."""
     fields = Fields(row.value)
     listed = fields.wholes('listed')
     if len(set(listed)) != len(listed):
-        raise UnreadableField('an item is listed twice')
+        raise UnreadableField('an item index is listed twice')
     return Progress(
         listed,
         fields.counts('failures'),
@@ -63,14 +66,14 @@
 
 
 def partial_in(row: Row) -> Partial:
-    """Return the unfinished output in a row; raise UnreadableField."""
+    """Parse a checkpoint from its row; raise UnreadableField."""
     index = row.key.partition('.')[-1]
     fields = Fields(row.value)
     last_id = fields.text('last_id')
     if not last_id.isdecimal():
-        raise UnreadableField(f'its last event is {last_id!r}')
+        raise UnreadableField(f'the id of the last event is {last_id!r}')
     if not index.isdecimal() or len(index) != INDEX_DIGITS:
-        raise UnreadableField(f'its index is {index!r}')
+        raise UnreadableField(f'the item index is {index!r}')
     return Partial(int(index), last_id, fields.text('output'))
 
 
@@ -80,7 +83,11 @@
     following: Progress,
     step: Step,
 ) -> Iterator[Write]:
-    """Yield the writes that lead from ``progress`` to ``following``."""
+    """Yield the writes that commit ``step``.
+
+    ``progress`` is the progress before the step and ``following`` the
+    progress after it.
+    """
     yield Write(progress_key(job_id), progress_value(following))
     for position, end in enumerate(step.ended, len(progress.listed)):
         yield from rows_of(job_id, position, end.result)
--- a/cactusridge/jobs/tenure.py
+++ b/cactusridge/jobs/tenure.py
@@ -1,4 +1,4 @@
-"""Since when an entry has been in the list without a gap."""
+"""Determines since when an entry has been a member without interruption."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,15 @@
 from cactusridge.store.table import Priority, Row, Table
 from cactusridge.store.unreadable import UnreadableRecord
 
-# Nobody takes an entry for dead whose row changes after this long, in ms.
+# Longest time in milliseconds between two renewals that does not interrupt the
+# membership. It is shorter than the lease, after which other entries count an
+# entry as dead.
 UNNOTICED_MS = 3000
 STAMP = 'renewed_ms'
 
 
 class _Stamps(NamedTuple):
-    """What a row tells, in ms of the store's clock."""
+    """Times in an entry's row, in milliseconds of the store's clock."""
 
     since_ms: int
     renewed_ms: int
@@ -24,14 +26,15 @@
 
 
 class Tenure:
-    """Tells an entry's row since when it has been renewed in time.
+    """Tracks since when an entry has renewed its row without interruption.
 
-    A process that starts soon enough goes on with what the row of the one
-    before it says: nobody has noticed that it was away.
+    A process that restarts before the lease has expired continues the
+    membership of the previous process, since the other entries have not
+    noticed the restart.
     """
 
     def __init__(self, clock: StoreClock) -> None:
-        """Count by the store's clock; nothing is known yet."""
+        """Measure time with ``clock``, the store's clock."""
         self._clock = clock
         self._since_ms: int | None = None
         self._stamped_ms = 0
@@ -39,9 +42,11 @@
         self._reader = RowReader()
 
     def since_ms(self, table: Table, key: str) -> int:
-        """Return the store's time since when the row at ``key`` counts.
+        """Return the start of the uninterrupted membership.
 
-        Raises StoreUnavailable.
+        It is in milliseconds of the store's clock. The first call reads
+        the row of the previous process at ``key``. Raises
+        StoreUnavailable.
         """
         if self._since_ms is None:
             row = table.read([key], Priority.lease)[0]
@@ -54,16 +59,16 @@
         return self._since_ms
 
     def stamp(self) -> dict[str, int]:
-        """Return the field of the row that says when it is written."""
+        """Return the field of the row with the time of the renewal."""
         self._stamped_ms = self._clock.now_ms()
         return {STAMP: self._stamped_ms}
 
     def renewed(self) -> None:
-        """Note that the store has taken the row last stamped."""
+        """Record that the store has accepted the last stamped row."""
         self._renewed_ms = self._stamped_ms
 
     def _found(self, row: Row) -> _Stamps:
-        """Return what the row of a process before this one says."""
+        """Return the times in the row of the previous process."""
         try:
             found = self._reader.read(row, _stamps_in)
         except UnreadableRecord:
--- a/cactusridge/jobs/urgency.py
+++ b/cactusridge/jobs/urgency.py
@@ -1,25 +1,29 @@
-"""Which waiting item of a batch job starts first.
+"""Policies for the order in which waiting batch items start.
 
-Answers more items than the slots can do before they are due, for tens of
-seconds: fewer replicas, or online requests in their place. By due time
-alone, the items that are late already go before those that could still
-be on time, and from then on all are late.
+For tens of seconds there may be more items than the slots can complete by
+their due times, because replicas fail or online requests take the slots. If
+items were ordered by due time alone, items that are already late would go
+before items that can still be on time, which would make those late too.
 """
 
 import abc
 import enum
 from typing import NamedTuple
 
-# An item that would be given up within this many of its own run times is
-# started before all others: it must be done, late or not.
+# An item starts before all others if it would be given up within this many of
+# its remaining run times, since every item has to complete, late or not.
 RESERVE_RUNS = 2
-# And within this many seconds, whatever its run time, in which several
-# other items may have to end first.
+# An item also starts before all others if it would be given up within this many
+# seconds, a time in which several other items may have to end first.
 RESERVE_S = 8.0
 
 
 class ItemTimes(NamedTuple):
-    """How an item stands, in seconds from now, and its work in seconds."""
+    """Time limits of an item and its remaining run time, all in seconds.
+
+    ``due_s`` and ``give_up_s`` count from now and are negative once the
+    due time or the time to give up has passed.
+    """
 
     due_s: float
     give_up_s: float
@@ -27,7 +31,7 @@
 
 
 class Standing(enum.IntEnum):
-    """The ranks of items, the first to start first."""
+    """Urgency classes of items; the lowest value starts first."""
 
     expiring = 0
     on_time = 1
@@ -35,29 +39,30 @@
 
 
 class Urgency(abc.ABC):
-    """Ranks waiting items; the lowest starts first."""
+    """Ranks waiting items; the item with the lowest rank starts first."""
 
     @abc.abstractmethod
     def rank(self, times: ItemTimes) -> tuple[Standing, float]:
-        """Return the place of an item in the line."""
+        """Return the rank of an item in the queue."""
 
 
 class DueFirst(Urgency):
-    """Naive: by due time, whether it can be met or not."""
+    """Baseline policy: orders items by due time, even if already late."""
 
     def rank(self, times: ItemTimes) -> tuple[Standing, float]:
-        """Return the due time."""
+        """Return a rank that depends on the due time alone."""
         return Standing.on_time, times.due_s
 
 
 class OnTimeFirst(Urgency):
-    """What can be on time by due time, then what is late.
+    """Starts items that can be on time before late ones, by due time.
 
-    No item waits for ever: what would soon be given up goes first.
+    Items that would soon be given up start before all others, so that a
+    late item does not wait until it is given up.
     """
 
     def rank(self, times: ItemTimes) -> tuple[Standing, float]:
-        """Return the standing, and the due time within it."""
+        """Return the urgency class and, within the class, the due time."""
         reserve_s = max(RESERVE_S, RESERVE_RUNS * times.left_s)
         if times.give_up_s < reserve_s:
             return Standing.expiring, times.due_s
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -1,4 +1,4 @@
-"""The items that could start now, in the order in which they should."""
+"""Queue of the batch items that may start now, the most urgent first."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -14,16 +14,16 @@
 from cactusridge.quarantine.suspects import Suspects
 from cactusridge.store.store_clock import MS, StoreClock
 
-# Pause of an item whose run was interrupted, in seconds: a replica that
-# is full or breaking off is not asked again within a step or two.
+# Delay in seconds before an interrupted item may start again, so that it is
+# not sent at once to a replica that is full or that closes connections.
 INTERRUPTED_PAUSE_S = 0.15
-# An item is given up this many seconds after it may be, so that a job
-# that was sent again later by its caller is not cut short.
+# Time in seconds by which an item is given up later than the route allows, so
+# that a job which its caller has submitted again later is not cut short.
 GIVE_UP_MARGIN_S = 3.0
 
 
 class Waiting(NamedTuple):
-    """An item that could start, with what decides its place in the line."""
+    """An item that may start, its rank in the queue and its route."""
 
     rank: tuple[Standing, float]
     index: int
@@ -33,7 +33,7 @@
 
 
 class WaitingLine:
-    """Orders the waiting items of held jobs; gives up what is too late."""
+    """Orders the pending items of held jobs and gives up expired items."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         urgency: Urgency,
         suspects: Suspects,
     ) -> None:
-        """Go by the routes of the ``catalog`` in force."""
+        """Use the routes of the catalog that ``catalog`` returns."""
         self._suspects = suspects
         self._clock = clock
         self._store_clock = store_clock
@@ -54,11 +54,11 @@
         self._routes = RouteMatches()
 
     def urgent_first(self, jobs: Iterable[HeldJob]) -> list[Waiting]:
-        """Return the items of ``jobs`` that may start, in their order."""
+        """Return the items of ``jobs`` that may start, most urgent first."""
         return sorted(self._waiting(list(jobs)), key=_place)
 
     def pace(self, route: Route) -> Pace:
-        """Return what is known of how long items of a route take."""
+        """Return the run time estimator of a route's items."""
         found = self._paces.get(route.name)
         if found is None:
             found = Pace()
@@ -66,12 +66,12 @@
         return found
 
     def pause(self, task: ItemTask) -> None:
-        """Keep an item from starting for a moment."""
+        """Delay the next start of an interrupted or failed item."""
         now = self._clock.monotonic()
         self._not_before[task.item.id] = now + INTERRUPTED_PAUSE_S
 
     def end(self, job: HeldJob, task: ItemTask, state: ItemState) -> None:
-        """End an item for good."""
+        """Record the final state of an item and remove it from its job."""
         job.pending.pop(task.index, None)
         self._not_before.pop(task.item.id, None)
         job.note_end(task, state)
@@ -89,11 +89,14 @@
         return found
 
     def _place_in_line(self, job: HeldJob, task: ItemTask) -> Waiting | None:
-        """Return an item's place, or None after giving it up."""
+        """Return the queue entry of an item, or None if it may not start.
+
+        An item without a route, or whose time has expired, is given up.
+        """
         catalog = self._catalog()
         if not catalog.version or catalog.version < job.head.catalog_version:
-            # A taker whose feed of configurations is silent: the route
-            # that it does not know may be newer than what it knows.
+            # This entry has no catalog, or one older than the job: a route
+            # that is missing here may be in a newer catalog.
             return None
         path = task.item.path.partition('?')[0]
         route = self._routes.match(catalog, job.head.host, path)
@@ -105,7 +108,8 @@
             self.end(job, task, ItemState.given_up)
             return None
         if self._suspects.is_held(task.fingerprint):
-            # It waits until it may be given up or is held back no longer.
+            # A quarantined item waits until its quarantine ends or its time
+            # expires.
             return None
         times = ItemTimes(
             route.due_s - age_s,
