--- a/cactusridge/jobs/free_replicas.py
+++ b/cactusridge/jobs/free_replicas.py
@@ -27,7 +27,7 @@
         self._sharing = sharing
         self._rng = random.Random()  # noqa: S311
 
-    def roomiest(self, route: Route) -> Replica | None:
+    def with_most_room(self, route: Route) -> Replica | None:
         """Return the replica with the most free slots, None if all are full.
 
         Replicas of the entry's own cell come first, since an item that
--- a/cactusridge/jobs/heads.py
+++ b/cactusridge/jobs/heads.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cactusridge.jobs.keys import head_key
-from cactusridge.jobs.model import JobHead, head_of
+from cactusridge.jobs.model import JobHead, parse_head_fields
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import ABSENT, Row
 from cactusridge.store.table_follower import TableListener
@@ -12,9 +12,11 @@
 TABLE = 'jobs'
 
 
-def head_in(row: Row) -> JobHead:
+def parse_head(row: Row) -> JobHead:
     """Parse the head of a job from its row; raise UnreadableField."""
-    return head_of(row.key.rpartition('/')[-1], row.value or {}, row.version)
+    return parse_head_fields(
+        row.key.rpartition('/')[-1], row.value or {}, row.version
+    )
 
 
 class JobHeads(TableListener):
@@ -44,7 +46,7 @@
             self._reader.report(row, 'the key is not that of a job head')
             return
         try:
-            head = self._reader.read(row, head_in)
+            head = self._reader.read(row, parse_head)
         except UnreadableRecord:
             self._heads.pop(job_id, None)
             self._unreadable[job_id] = row.version
--- a/cactusridge/jobs/held_job.py
+++ b/cactusridge/jobs/held_job.py
@@ -12,30 +12,30 @@
 from cactusridge.errors import OutcomeUnknown, StoreUnavailable
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.ledger import (
-    MAX_COMMIT,
-    MAX_PARTIAL_CHARS,
+    MAX_CHECKPOINT_CHARS,
+    MAX_COMMIT_RESULTS,
     JobLedger,
 )
 from cactusridge.jobs.model import (
+    Checkpoint,
     ItemState,
     JobHead,
     JobItem,
-    Partial,
     Progress,
     Result,
 )
-from cactusridge.jobs.step import ItemEnd, Step
+from cactusridge.jobs.step import FinishedItem, JobChanges
 from cactusridge.store.unreadable import UnreadableRecord
 
 # Pause in seconds before a failed commit is retried.
-RETRY_S = 0.3
+COMMIT_RETRY_S = 0.3
 # Interval between two checkpoints in seconds. If a holder is lost, the output
 # since its last checkpoint has to be produced again; a shorter interval costs
 # more writes to the store, of some kilobytes for each item in flight.
 CHECKPOINT_S = 1.0
 # Maximum number of checkpoints in one transaction. At 15,000 characters each
 # they stay below one megabyte, the limit of a transaction.
-MAX_PARTIALS = 12
+MAX_CHECKPOINTS = 12
 
 
 class HeldJob:
@@ -46,13 +46,13 @@
         head: JobHead,
         progress: Progress,
         items: Sequence[JobItem],
-        partials: Iterable[Partial],
+        checkpoints: Iterable[Checkpoint],
         ledger: JobLedger,
         clock: Clock,
     ) -> None:
         """Create tasks for the items that ``progress`` does not list.
 
-        ``partials`` are the checkpoints of earlier runs.
+        ``checkpoints`` hold the output of earlier runs.
         """
         self.head = head
         self.stopped = False
@@ -61,7 +61,7 @@
         self._ledger = ledger
         self._clock = clock
         self._checkpoint_at = clock.monotonic() + CHECKPOINT_S
-        self._ended: list[ItemEnd] = []
+        self._finished_items: list[FinishedItem] = []
         self._failures = dict(progress.failures)
         self._wake = Event()
         self._committing = RLock()
@@ -71,7 +71,7 @@
             for index, item in enumerate(items)
             if index not in done
         }
-        for part in partials:
+        for part in checkpoints:
             self._restore(part)
         self.pending = dict(self._tasks)
 
@@ -80,19 +80,21 @@
         """Whether the results of all items are committed."""
         return len(self._progress.listed) == self.head.items
 
-    def note_failure(self, task: ItemTask) -> None:
+    def record_failure(self, task: ItemTask) -> None:
         """Count a run of an item that failed at the upstream."""
         task.failures += 1
         self._failures[str(task.index)] = task.failures
         self._wake.set()
 
-    def note_end(self, task: ItemTask, state: ItemState) -> None:
+    def record_end(self, task: ItemTask, state: ItemState) -> None:
         """Record the final state of an item for the next commit."""
         output = task.output() if state == ItemState.completed else ''
         result = Result(task.item.id, state, output)
-        checkpointed = task.stored_id is not None
+        checkpointed = task.checkpoint_id is not None
         self._tasks.pop(task.index, None)
-        self._ended.append(ItemEnd(task.index, result, checkpointed))
+        self._finished_items.append(
+            FinishedItem(task.index, result, checkpointed)
+        )
         self._wake.set()
         metrics.ITEMS.inc({'service': self.head.path, 'outcome': state})
         if state == ItemState.given_up:
@@ -111,7 +113,7 @@
     def hand_over(self) -> None:
         """Commit all results and checkpoints, then stop; raise HoldLost."""
         with self._committing:
-            while self._commit_some(self._partials()):
+            while self._commit_once(self._checkpoints()):
                 gevent.sleep(0)
         self.stop()
 
@@ -129,29 +131,29 @@
     def _commit_all(self) -> None:
         """Commit all finished items, and checkpoints if they are due."""
         now = self._clock.monotonic()
-        partials: list[Partial] = []
+        checkpoints: list[Checkpoint] = []
         if now >= self._checkpoint_at:
             self._checkpoint_at = now + CHECKPOINT_S
-            partials = self._partials()
-        while not self.stopped and self._commit_some(partials):
-            partials = []
+            checkpoints = self._checkpoints()
+        while not self.stopped and self._commit_once(checkpoints):
+            checkpoints = []
 
-    def _commit_some(self, partials: list[Partial]) -> bool:
+    def _commit_once(self, checkpoints: list[Checkpoint]) -> bool:
         """Commit one transaction; return whether there was anything to commit.
 
         A commit that fails because of the store is logged and left to the
         next call. Raises HoldLost.
         """
-        ended = self._ended[:MAX_COMMIT]
-        behind = self._failures != self._progress.failures
-        if not (ended or partials or behind):
+        ended = self._finished_items[:MAX_COMMIT_RESULTS]
+        failures_changed = self._failures != self._progress.failures
+        if not (ended or checkpoints or failures_changed):
             return False
-        step = Step(ended, dict(self._failures), partials)
+        changes = JobChanges(ended, dict(self._failures), checkpoints)
         try:
             self._progress = self._ledger.commit(
                 self.head.id,
                 self._progress,
-                step,
+                changes,
             )
         except (StoreUnavailable, OutcomeUnknown) as exc:
             logs.emit(
@@ -160,29 +162,29 @@
                 results=len(ended),
                 error=str(exc),
             )
-            gevent.sleep(RETRY_S)
+            gevent.sleep(COMMIT_RETRY_S)
             return True
-        self._note_committed(step)
+        self._note_committed(changes)
         return True
 
-    def _note_committed(self, step: Step) -> None:
-        self._ended = self._ended[len(step.ended) :]
-        for part in step.partials:
+    def _note_committed(self, changes: JobChanges) -> None:
+        self._finished_items = self._finished_items[len(changes.ended) :]
+        for part in changes.checkpoints:
             task = self._tasks.get(part.index)
             if task is not None:
-                task.stored_id = part.last_id
-        if step.ended:
+                task.checkpoint_id = part.last_id
+        if changes.ended:
             logs.emit(
                 events.RESULTS_LISTED,
                 job=self.head.id,
-                items=[end.result.id for end in step.ended],
+                items=[end.result.id for end in changes.ended],
                 listed=len(self._progress.listed),
                 version=self._progress.version,
             )
             self.listed.set()
             self.listed.clear()
 
-    def _partials(self) -> list[Partial]:
+    def _checkpoints(self) -> list[Checkpoint]:
         """Return checkpoints of items with output since the last checkpoint.
 
         Outputs that are too long for a row are left out.
@@ -190,22 +192,22 @@
         grown = [
             task
             for task in self._tasks.values()
-            if task.last_id is not None and task.last_id != task.stored_id
+            if task.last_id is not None and task.last_id != task.checkpoint_id
         ]
         found = [
-            Partial(task.index, task.last_id or '', task.output())
+            Checkpoint(task.index, task.last_id or '', task.output())
             for task in grown
         ]
         fitting = [
-            part for part in found if len(part.output) <= MAX_PARTIAL_CHARS
+            part for part in found if len(part.output) <= MAX_CHECKPOINT_CHARS
         ]
-        return fitting[:MAX_PARTIALS]
+        return fitting[:MAX_CHECKPOINTS]
 
-    def _restore(self, part: Partial) -> None:
+    def _restore(self, part: Checkpoint) -> None:
         task = self._tasks.get(part.index)
         if task is not None:
             task.restore(part.last_id, part.output)
-            task.stored_id = part.last_id
+            task.checkpoint_id = part.last_id
 
 
 def restored_job(
@@ -225,8 +227,8 @@
             f'job {head.id} should have {head.items} items but has'
             f' {len(items)}; the highest listed index is {last}',
         )
-    partials = ledger.partials(head.id)
-    return HeldJob(head, progress, items, partials, ledger, clock)
+    checkpoints = ledger.checkpoints(head.id)
+    return HeldJob(head, progress, items, checkpoints, ledger, clock)
 
 
 def _task(
--- a/cactusridge/jobs/intake.py
+++ b/cactusridge/jobs/intake.py
@@ -13,14 +13,14 @@
 
 # Time in seconds for which a peer's report that it reaches the store stays
 # valid: three intervals of the report.
-WORD_AGE_S = 1.6
+PEER_REPORT_VALID_S = 1.6
 # Retry-After in seconds while a peer reaches the store: the caller's next
 # connection most likely goes to such a peer.
-ELSEWHERE_RETRY_S = 0.05
+PEER_RETRY_S = 0.05
 # Retry-After in seconds while no peer reaches the store: an outage of the
 # whole store seldom ends sooner, and a caller with a few seconds left before
 # its deadline can still retry.
-LOST_RETRY_S = 1.0
+OUTAGE_RETRY_S = 1.0
 
 
 class Intake:
@@ -30,19 +30,19 @@
         """``store_lost`` returns whether the store has stopped responding."""
         self._store_lost = store_lost
         self._clock = clock
-        self._heard_at: float | None = None
+        self._peer_report_at: float | None = None
 
     def heard(self, has_store: bool) -> None:
         """Record a peer's report on whether it reaches the store."""
         if has_store:
-            self._heard_at = self._clock.monotonic()
+            self._peer_report_at = self._clock.monotonic()
 
     def check(self, job_id: str) -> None:
         """Raise StoreUnavailable if this entry cannot reach the store."""
         if not self._store_lost():
             return
         elsewhere = self.better_elsewhere()
-        retry_s = ELSEWHERE_RETRY_S if elsewhere else LOST_RETRY_S
+        retry_s = PEER_RETRY_S if elsewhere else OUTAGE_RETRY_S
         logs.emit(
             events.JOB_REFUSED,
             job=job_id,
@@ -61,6 +61,8 @@
         eight entries cannot reach the store, one in eight callers that try
         twice connects to two of these entries.
         """
-        if self._heard_at is None or not self._store_lost():
+        if self._peer_report_at is None or not self._store_lost():
             return False
-        return self._clock.monotonic() - self._heard_at < WORD_AGE_S
+        return (
+            self._clock.monotonic() - self._peer_report_at < PEER_REPORT_VALID_S
+        )
--- a/cactusridge/jobs/item_run.py
+++ b/cactusridge/jobs/item_run.py
@@ -24,13 +24,13 @@
 # Read timeout of a run in seconds, after which the item is resumed in another
 # run. It is far longer than the wait in a full queue of a replica and the
 # pauses of a fully loaded engine.
-SILENCE_S = 3.0
+READ_TIMEOUT_S = 3.0
 # Deadline of one run in seconds, which is sent to the replica. An item that
 # takes longer is resumed after its last event in another run.
-RUN_LIMIT_S = 60.0
+RUN_DEADLINE_S = 60.0
 
 
-class RunEnd(enum.Enum):
+class RunOutcome(enum.Enum):
     """Outcome of one run of an item.
 
     ``completed`` is a whole output, ``impossible`` a genuine 422 of the
@@ -70,14 +70,14 @@
         # Whether the last run was interrupted; if so, the next one uses a
         # new connection.
         self.interrupted = False
-        self.texts: list[str] = []
+        self.event_data: list[str] = []
         self.last_id: str | None = None
         # Id of the last event in the stored checkpoint.
-        self.stored_id: str | None = None
+        self.checkpoint_id: str | None = None
 
     def restore(self, last_id: str, output: str) -> None:
         """Restore the output from the checkpoint of an earlier holder."""
-        self.texts = [output]
+        self.event_data = [output]
         self.last_id = last_id
 
     @property
@@ -87,7 +87,7 @@
 
     def output(self) -> str:
         """Return the data of all events so far, one line per event."""
-        return '\n'.join(self.texts)
+        return '\n'.join(self.event_data)
 
 
 class ItemRun(NamedTuple):
@@ -98,30 +98,30 @@
     runner: Runner
     clock: Clock
 
-    def go(self, replica: Replica) -> RunEnd:
+    def execute(self, replica: Replica) -> RunOutcome:
         """Run the item from its last event on and return the outcome.
 
         A CactusridgeError is not raised but returned as ``interrupted``.
         """
         end = self._run(replica)
-        self.task.interrupted = end == RunEnd.interrupted
+        self.task.interrupted = end == RunOutcome.interrupted
         return end
 
-    def _run(self, replica: Replica) -> RunEnd:
+    def _run(self, replica: Replica) -> RunOutcome:
         try:
             run = self.runner.open(
                 replica,
                 self._request(),
                 WorkKind.batch,
-                RUN_LIMIT_S,
+                RUN_DEADLINE_S,
                 fresh=self.task.interrupted,
             )
         except CactusridgeError:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         try:
             return self._read(run)
         except CactusridgeError:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         finally:
             run.close()
 
@@ -143,31 +143,31 @@
             organisation=self.head.organisation,
         )
 
-    def _read(self, run: Run) -> RunEnd:
-        head = run.head(SILENCE_S)
+    def _read(self, run: Run) -> RunOutcome:
+        head = run.head(READ_TIMEOUT_S)
         if head.status == UNPROCESSABLE and head.genuine:
-            return RunEnd.impossible
+            return RunOutcome.impossible
         if head.status >= SERVER_FAULT:
             failed = head.status == SERVER_FAULT and head.genuine
-            return RunEnd.failed if failed else RunEnd.interrupted
+            return RunOutcome.failed if failed else RunOutcome.interrupted
         if head.status != OK:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         self._read_events(run)
         run.survived()
-        return RunEnd.completed
+        return RunOutcome.completed
 
     def _read_events(self, run: Run) -> None:
         splitter = EventSplitter(self.task.last_id)
-        received = run.read(SILENCE_S)
+        received = run.read(READ_TIMEOUT_S)
         while received:
             for event in splitter.feed(received):
                 run.note_output()
-                self._take(event.id, event.payload)
-            received = run.read(SILENCE_S)
+                self._append_event(event.id, event.payload)
+            received = run.read(READ_TIMEOUT_S)
         if splitter.pending:
             raise TruncatedReply('the stream ended in the middle of an event')
 
-    def _take(self, event_id: str | None, payload: str) -> None:
+    def _append_event(self, event_id: str | None, payload: str) -> None:
         """Append one event to the output.
 
         Raises CrossedReply if it does not follow the last event.
@@ -177,5 +177,5 @@
             raise CrossedReply('the stream has an event without an id')
         if last is not None and int(event_id) != int(last) + 1:
             raise CrossedReply(f'event {event_id} does not follow event {last}')
-        self.task.texts.append(payload)
+        self.task.event_data.append(payload)
         self.task.last_id = event_id
--- a/cactusridge/jobs/janitor.py
+++ b/cactusridge/jobs/janitor.py
@@ -12,10 +12,10 @@
 LOOK_S = 10.0
 # Time in seconds for which jobs are kept beyond the promised retention, which
 # counts from the submission by the caller's clock.
-MARGIN_S = 60.0
+RETENTION_MARGIN_S = 60.0
 # Maximum number of jobs removed in one check, so that many expired jobs cause
 # only a few calls to the store per second.
-MAX_AT_ONCE = 10
+MAX_REMOVED_PER_CHECK = 10
 
 
 class Janitor:
@@ -34,15 +34,17 @@
         self._heads = heads
         self._orphans = orphans
         self._store_clock = store_clock
-        self._keep_s = keep_s + MARGIN_S
+        self._keep_s = keep_s + RETENTION_MARGIN_S
 
     def look(self) -> None:
         """Remove a limited number of expired jobs."""
-        due = [head for head in self._heads.every() if self._is_due(head)]
-        for head in due[:MAX_AT_ONCE]:
+        expired = [
+            head for head in self._heads.every() if self._is_expired(head)
+        ]
+        for head in expired[:MAX_REMOVED_PER_CHECK]:
             self._remove(head)
 
-    def _is_due(self, head: JobHead) -> bool:
+    def _is_expired(self, head: JobHead) -> bool:
         if head.state == JobState.open or self._orphans.rank(head):
             return False
         age_s = (self._store_clock.now_ms() - head.created_ms) / MS
--- a/cactusridge/jobs/keys.py
+++ b/cactusridge/jobs/keys.py
@@ -33,11 +33,11 @@
     return f'results/{shard_of(job_id)}/{job_id}.'
 
 
-def partial_key(job_id: str, index: int) -> str:
+def checkpoint_key(job_id: str, index: int) -> str:
     """Return the key of the row with the checkpoint of an item."""
-    return f'{partial_prefix(job_id)}{index:0{INDEX_DIGITS}}'
+    return f'{checkpoint_prefix(job_id)}{index:0{INDEX_DIGITS}}'
 
 
-def partial_prefix(job_id: str) -> str:
+def checkpoint_prefix(job_id: str) -> str:
     """Return the key prefix of the rows with a job's checkpoints."""
     return f'partial/{shard_of(job_id)}/{job_id}.'
--- a/cactusridge/jobs/ledger.py
+++ b/cactusridge/jobs/ledger.py
@@ -17,19 +17,19 @@
     StoreUnavailable,
 )
 from cactusridge.identity import new_id
-from cactusridge.jobs.heads import head_in
-from cactusridge.jobs.hold_writer import HoldLost, HoldWriter
+from cactusridge.jobs.heads import parse_head
+from cactusridge.jobs.hold_writer import ConditionalWriter, HoldLost
 from cactusridge.jobs.keys import (
+    checkpoint_prefix,
     head_key,
-    partial_prefix,
     progress_key,
     result_prefix,
 )
 from cactusridge.jobs.model import (
+    Checkpoint,
     JobHead,
     JobItem,
     JobState,
-    Partial,
     Progress,
     Result,
     head_value,
@@ -37,10 +37,10 @@
 from cactusridge.jobs.payloads import Payloads
 from cactusridge.jobs.result_rows import ResultReader
 from cactusridge.jobs.step import (
-    Step,
-    partial_in,
+    JobChanges,
+    parse_checkpoint,
+    parse_progress,
     progress_after,
-    progress_in,
     progress_value,
     step_writes,
 )
@@ -57,18 +57,17 @@
 from cactusridge.store.unreadable import UnreadableRecord
 from cactusridge.store.writer import insert_once
 
-# Maximum number of results in one transaction. A result takes at most about
-# 23 KB, so they stay well below the limits of the store for one transaction:
-# one megabyte and 100 rows.
-MAX_COMMIT = 20
+# Maximum number of results in one transaction. Each takes at most about 23 KB,
+# far below the store's limits of one megabyte and 100 rows per transaction.
+MAX_COMMIT_RESULTS = 20
 # Maximum number of attempts to end a job whose head changes between the read
 # and the write. Only a takeover changes it, seldom twice in a row.
-END_TRIES = 8
+MAX_END_ATTEMPTS = 8
 # Maximum number of rows removed in one transaction; the store allows 100.
-MAX_REMOVED = 90
-# Maximum length in characters of a checkpoint's output: a row of the store
-# holds that many characters of any kind.
-MAX_PARTIAL_CHARS = 15_000
+MAX_ROWS_REMOVED = 90
+# Maximum length of a checkpoint's output, in characters of any kind, which
+# one row of the store can hold.
+MAX_CHECKPOINT_CHARS = 15_000
 
 
 class JobLedger:
@@ -82,7 +81,7 @@
     ) -> None:
         """Store rows in ``table`` and large payloads in ``objects``."""
         self._table = table
-        self._writer = HoldWriter(table)
+        self._writer = ConditionalWriter(table)
         self._payloads = Payloads(table, objects)
         self._clock = clock
         self._reader = RowReader()
@@ -100,10 +99,10 @@
         if it is not known whether the job was stored.
         """
         write_id = new_id('w', self._clock)
-        fresh = Progress([], {}, write_id)
+        initial = Progress([], {}, write_id)
         writes = [
             Write(head_key(head.id), head_value(head)),
-            Write(progress_key(head.id), progress_value(fresh)),
+            Write(progress_key(head.id), progress_value(initial)),
             *self._payloads.prepare(head.id, items, write_id),
         ]
         condition = Condition(head_key(head.id), ABSENT)
@@ -122,7 +121,7 @@
         Raises NotFound, StoreUnavailable, UnreadableRecord.
         """
         row = self._table.read([head_key(job_id)], Priority.acceptance)[0]
-        head = self._reader.read(row, head_in)
+        head = self._reader.read(row, parse_head)
         if head is None:
             raise NotFound(f'no job {job_id}')
         return head
@@ -133,7 +132,7 @@
         Raises NotFound, StoreUnavailable, UnreadableRecord.
         """
         row = self._table.read([progress_key(job_id)], Priority.lease)[0]
-        progress = self._reader.read(row, progress_in)
+        progress = self._reader.read(row, parse_progress)
         if progress is None:
             raise NotFound(f'no job {job_id}')
         return progress
@@ -145,21 +144,20 @@
         """
         return self._payloads.read(job_id)
 
-    def partials(self, job_id: str) -> list[Partial]:
+    def checkpoints(self, job_id: str) -> list[Checkpoint]:
         """Return the checkpoints of a job's items.
 
         An unreadable checkpoint is left out, and its item starts again
         without output. Raises StoreUnavailable.
         """
-        rows = self._table.scan(partial_prefix(job_id), Priority.commit)
-        return list(self._reader.readable(rows, partial_in))
+        rows = self._table.scan(checkpoint_prefix(job_id), Priority.commit)
+        return list(self._reader.readable(rows, parse_checkpoint))
 
-    def take(self, head: JobHead, holder: str, life: str) -> JobHead:
-        """Make ``holder`` the holder of a job and return the new head.
+    def take_over(self, head: JobHead, holder: str, life: str) -> JobHead:
+        """Make the entry ``holder`` of incarnation ``life`` the holder.
 
-        ``life`` is the incarnation of the holder's process. Raises
-        HoldLost if another entry has changed the job since ``head`` was
-        read, and NotFound, StoreUnavailable, OutcomeUnknown or
+        Raises HoldLost if another entry has changed the job since ``head``
+        was read, NotFound, StoreUnavailable, OutcomeUnknown and
         UnreadableRecord.
         """
         progress = self.progress(head.id)
@@ -180,74 +178,65 @@
         return self.head(head.id)
 
     def release(self, head: JobHead) -> None:
-        """Clear the holder so that any entry may take over the job.
-
-        Raises HoldLost if the head has changed since it was read.
-        """
-        self._put_head(head._replace(holder='', life=''))
+        """Clear the holder so that any entry may take over; raise HoldLost."""
+        self._replace_head(head._replace(holder='', life=''))
 
     def commit(
         self,
         job_id: str,
         progress: Progress,
-        step: Step,
+        changes: JobChanges,
     ) -> Progress:
-        """Commit ``step`` after ``progress`` and return the new progress.
+        """Commit ``changes`` after ``progress`` and return the new progress.
 
         Raises HoldLost if another entry has taken over the job. Raises
         StoreUnavailable or OutcomeUnknown if the caller has to retry with
         the same results in the same order.
         """
-        following = progress_after(progress, step, new_id('w', self._clock))
+        updated = progress_after(progress, changes, new_id('w', self._clock))
         version = self._writer.write(
             [Condition(progress_key(job_id), progress.version)],
-            list(step_writes(job_id, progress, following, step)),
-            (progress_key(job_id), following.write_id),
+            list(step_writes(job_id, progress, updated, changes)),
+            (progress_key(job_id), updated.write_id),
         )
-        return following._replace(version=version)
+        return updated._replace(version=version)
 
     def end(self, job_id: str) -> JobHead:
         """End a job and return its head; ending an ended job has no effect.
 
-        Raises NotFound, StoreUnavailable, UnreadableRecord, and
-        OutcomeUnknown if the head changed between each read and write.
+        Raises NotFound, StoreUnavailable, OutcomeUnknown, UnreadableRecord.
         """
-        for _ in range(END_TRIES):
+        for _ in range(MAX_END_ATTEMPTS):
             head = self.head(job_id)
             if head.state == JobState.ended:
                 return head
-            # If the holder has changed since the read, the next attempt
-            # reads the newer head.
+            # If the holder has changed, the next attempt reads the new head.
             with contextlib.suppress(HoldLost):
-                return self._put_head(head._replace(state=JobState.ended))
+                return self._replace_head(head._replace(state=JobState.ended))
         raise OutcomeUnknown(
             'the job changed during every attempt to end it', retry_after_s=1
         )
 
     def close(self, head: JobHead) -> JobHead:
         """Mark a job whose items are all finished as closed; raise HoldLost."""
-        return self._put_head(head._replace(state=JobState.closed))
+        return self._replace_head(head._replace(state=JobState.closed))
 
     def results(self, job_id: str, after: int) -> list[Result]:
         """Return one or more results from position ``after`` on.
 
-        The list is empty if there is no result at that position yet.
-        Raises StoreUnavailable, and UnreadableRecord if the result at
-        ``after`` is unreadable.
+        The list is empty if there is no such result yet. Raises
+        StoreUnavailable, and UnreadableRecord for the first result.
         """
         return self._results.page(job_id, after)
 
     def remove(self, head: JobHead) -> None:
-        """Remove all rows of a job whose retention has ended, its head last.
-
-        Raises StoreUnavailable, HoldLost, OutcomeUnknown.
-        """
+        """Remove all rows of an expired job, its head last."""
         writes = self._payloads.drop(head.id)
-        for prefix in (result_prefix(head.id), partial_prefix(head.id)):
+        for prefix in (result_prefix(head.id), checkpoint_prefix(head.id)):
             rows = scan_all(self._table, prefix, Priority.report)
             writes.extend(Write(row.key, None) for row in rows)
-        for start in range(0, len(writes), MAX_REMOVED):
-            part = writes[start : start + MAX_REMOVED]
+        for start in range(0, len(writes), MAX_ROWS_REMOVED):
+            part = writes[start : start + MAX_ROWS_REMOVED]
             self._table.transact([], part, Priority.report)
         self._writer.write(
             [Condition(head_key(head.id), head.version)],
@@ -258,7 +247,7 @@
             None,
         )
 
-    def _put_head(self, head: JobHead) -> JobHead:
+    def _replace_head(self, head: JobHead) -> JobHead:
         """Replace a head in the store; raise HoldLost if it has changed."""
         version = self._writer.write(
             [Condition(head_key(head.id), head.version)],
--- a/cactusridge/jobs/look_pacer.py
+++ b/cactusridge/jobs/look_pacer.py
@@ -9,16 +9,16 @@
 # Maximum time between two scheduling passes, in seconds, while jobs are
 # held. A peer that times out or a replica that recovers frees slots without
 # any message that would wake the scheduler.
-TICK_S = 0.1
+BUSY_INTERVAL_S = 0.1
 # Time between two scheduling passes, in seconds, while no job is held and no
 # item is in flight.
-IDLE_TICK_S = 2.0
+IDLE_INTERVAL_S = 2.0
 # Minimum time between two scheduling passes, in seconds, in a fleet of
 # several cells, where the datagrams of many peers would each cause a pass.
-LOOK_EVERY_S = 0.02
+MIN_PASS_INTERVAL_S = 0.02
 
 
-class LookPacer:
+class PassPacer:
     """Waits until the next scheduling pass is due."""
 
     def __init__(self, clock: Clock, cells: Cells) -> None:
@@ -26,7 +26,7 @@
         self.wake = Event()
         self._clock = clock
         self._cells = cells
-        self._looked_at = float(0)
+        self._last_pass_at = float(0)
 
     def wait(self, busy: bool) -> None:
         """Wait until ``wake`` is set or the poll interval has passed.
@@ -35,9 +35,11 @@
         the call waits longer to keep the minimum time between two passes,
         so that one pass covers all changes up to then.
         """
-        self.wake.wait(TICK_S if busy else IDLE_TICK_S)
-        due_s = self._looked_at + LOOK_EVERY_S - self._clock.monotonic()
-        if due_s > 0 and self._cells.several:
-            gevent.sleep(due_s)
-        self._looked_at = self._clock.monotonic()
+        self.wake.wait(BUSY_INTERVAL_S if busy else IDLE_INTERVAL_S)
+        delay_s = (
+            self._last_pass_at + MIN_PASS_INTERVAL_S - self._clock.monotonic()
+        )
+        if delay_s > 0 and self._cells.several:
+            gevent.sleep(delay_s)
+        self._last_pass_at = self._clock.monotonic()
         self.wake.clear()
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -45,16 +45,16 @@
         self._scheduler = scheduler
         self._clock = clock
         self._orphans = orphans
-        self._tell_peers: Callable[[str, int], None] = tell_nobody
+        self._announce: Callable[[str, int], None] = tell_nobody
         self._peers_heard = peers_heard
         self._heads = heads
         heads.on_change(self.changed)
-        self._taking: set[str] = set()
+        self._starting: set[str] = set()
         self._stopping = False
 
-    def tell_through(self, tell: Callable[[str, int], None]) -> None:
-        """Announce changed heads to peers with ``tell(job_id, version)``."""
-        self._tell_peers = tell
+    def tell_through(self, announce: Callable[[str, int], None]) -> None:
+        """Announce heads to peers with ``announce(job_id, version)``."""
+        self._announce = announce
 
     def changed(self, head: JobHead) -> None:
         """Stop a held job if a newer head has ended or reassigned it."""
@@ -68,13 +68,12 @@
     def told(self, job_id: str, version: int) -> None:
         """Check a held job after a peer has announced a newer head of it.
 
-        The store's feed delivers the same change, but not while this entry
-        cannot reach the store. In that case only the peer's announcement
-        stops the items of a job that has ended or has a new holder.
+        The store's feed delivers the same change unless this entry cannot
+        reach the store. In that case only the announcement stops the items.
         """
         held = self.held(job_id)
         if held is not None and version > held.head.version:
-            spawn(Part.jobs, self._check_hold, held, version)
+            spawn(Part.jobs, self._check_holder, held, version)
 
     def held(self, job_id: str) -> HeldJob | None:
         """Return the job if this entry runs it, else None."""
@@ -104,16 +103,18 @@
             holder=stored.holder,
         )
         self._heads.note(stored)
-        fresh = stored.state == JobState.open and self._orphans.is_mine(stored)
-        if fresh and self.held(head.id) is None and not self._stopping:
-            self._taking.add(head.id)
-            spawn(Part.jobs, self._begin, stored, items)
+        runs_here = stored.state == JobState.open and self._orphans.is_mine(
+            stored
+        )
+        if runs_here and self.held(head.id) is None and not self._stopping:
+            self._starting.add(head.id)
+            spawn(Part.jobs, self._run, stored, items)
         return stored
 
     def end(self, job_id: str) -> None:
         """End a job in the store and announce that to the peers."""
         ended = self.ledger.end(job_id)
-        self._tell_peers(ended.id, ended.version)
+        self._announce(ended.id, ended.version)
         logs.emit(events.JOB_CANCELLED, job=job_id, version=ended.version)
         self._heads.note(ended)
 
@@ -128,10 +129,10 @@
         if not self._session.may_dispatch():
             return
         for head in self._heads.every():
-            busy = head.id in self._taking or self.held(head.id) is not None
-            if not busy and self._orphans.due(head):
-                self._taking.add(head.id)
-                spawn(Part.jobs, self._take, head)
+            busy = head.id in self._starting or self.held(head.id) is not None
+            if not busy and self._orphans.should_take_over(head):
+                self._starting.add(head.id)
+                spawn(Part.jobs, self._take_over, head)
 
     def stop(self) -> None:
         """Stop all jobs and hand them over to the other entries."""
@@ -139,7 +140,7 @@
         self._scheduler.may_dispatch.clear()
         held = list(self._scheduler.jobs.values())
         self._scheduler.stop_all()
-        gevent.joinall([gevent.spawn(self._release, job) for job in held])
+        gevent.joinall([gevent.spawn(self._hand_over, job) for job in held])
 
     def _may_dispatch(self) -> bool:
         """Return whether items may start.
@@ -151,21 +152,21 @@
         """
         return self._session.may_dispatch() or self._peers_heard()
 
-    def _take(self, head: JobHead) -> None:
+    def _take_over(self, head: JobHead) -> None:
         """Take over an orphaned job and run it."""
         me = self._session.me
         try:
             # The items are read first, so that an entry that cannot read them
             # does not become the holder.
             items = self.ledger.items(head.id)
-            taken = self.ledger.take(head, me.name, me.life)
+            taken = self.ledger.take_over(head, me.name, me.life)
         except CactusridgeError as exc:
-            self._taking.discard(head.id)
-            self._orphans.not_taken(head, exc)
+            self._starting.discard(head.id)
+            self._orphans.takeover_failed(head, exc)
             if isinstance(exc, HoldLost):
                 self._refresh(head.id)
             return
-        self._tell_peers(taken.id, taken.version)
+        self._announce(taken.id, taken.version)
         logs.emit(
             events.JOB_TAKEN,
             job=head.id,
@@ -173,14 +174,13 @@
             version=taken.version,
         )
         self._heads.note(taken)
-        self._begin(taken, items)
+        self._run(taken, items)
 
-    def _check_hold(self, held: HeldJob, version: int) -> None:
+    def _check_holder(self, held: HeldJob, version: int) -> None:
         """Read the head of a held job after a peer's announcement.
 
-        ``version`` is the announced version. If the known head is still
-        older after the read, because the store cannot be reached, the job
-        is dropped on the announcement alone.
+        If the known head is still older than ``version`` after the read,
+        the job is dropped on the announcement alone.
         """
         self._refresh(held.head.id)
         if held.head.version < version and not held.stopped:
@@ -194,21 +194,21 @@
         except CactusridgeError as exc:
             logs.emit(events.TAKE_FAILED, job=job_id, error=str(exc))
 
-    def _begin(self, head: JobHead, items: list[JobItem]) -> None:
+    def _run(self, head: JobHead, items: list[JobItem]) -> None:
         """Run a job until it completes, ends or has another holder."""
         try:
             held = restored_job(head, items, self.ledger, self._clock)
         except CactusridgeError as exc:
-            self._orphans.not_taken(head, exc)
+            self._orphans.takeover_failed(head, exc)
             return
         finally:
-            self._taking.discard(head.id)
+            self._starting.discard(head.id)
         newest = self._heads.get(head.id) or head
         if newest.state != JobState.open or not self._orphans.is_mine(newest):
             return
         if self._stopping:
-            # This entry started to stop while the store was being read.
-            self._release(held)
+            # The stop began while the store was being read.
+            self._hand_over(held)
             return
         self._scheduler.jobs[head.id] = held
         metrics.SPANS_HELD.set({}, len(self._scheduler.jobs))
@@ -241,7 +241,7 @@
         self._scheduler.stop_job(held.head.id)
         metrics.SPANS_HELD.set({}, len(self._scheduler.jobs))
 
-    def _release(self, job: HeldJob) -> None:
+    def _hand_over(self, job: HeldJob) -> None:
         try:
             job.hand_over()
             self.ledger.release(job.head)
--- a/cactusridge/jobs/model.py
+++ b/cactusridge/jobs/model.py
@@ -85,7 +85,7 @@
     version: int = 0
 
 
-class Partial(NamedTuple):
+class Checkpoint(NamedTuple):
     """Checkpoint of an item: its output up to the event ``last_id``."""
 
     index: int
@@ -106,7 +106,9 @@
     return f's{hash64(job_id) % SHARDS}'
 
 
-def head_of(job_id: str, raw: dict[str, Any], version: int) -> JobHead:
+def parse_head_fields(
+    job_id: str, raw: dict[str, Any], version: int
+) -> JobHead:
     """Parse the head of a job from the value of its row.
 
     Raises UnreadableField.
--- a/cactusridge/jobs/orphans.py
+++ b/cactusridge/jobs/orphans.py
@@ -25,14 +25,14 @@
         """Read the live entries from ``session``."""
         self._session = session
         self._clock = clock
-        self._since: dict[str, float] = {}
+        self._orphaned_since: dict[str, float] = {}
 
     def is_mine(self, head: JobHead) -> bool:
         """Return whether the holder is this incarnation of this entry."""
         me = self._session.me
         return head.holder == me.name and head.life == me.life
 
-    def due(self, head: JobHead) -> bool:
+    def should_take_over(self, head: JobHead) -> bool:
         """Return whether this entry has to take over a job now.
 
         The caller makes sure that this entry does not run the job. If the
@@ -41,13 +41,13 @@
         as orphaned.
         """
         if head.state != JobState.open or not self._is_orphan(head):
-            self._since.pop(head.id, None)
+            self._orphaned_since.pop(head.id, None)
             return False
         now = self._clock.monotonic()
-        since = self._since.setdefault(head.id, now)
+        since = self._orphaned_since.setdefault(head.id, now)
         return now - since >= self.rank(head) * RANK_DELAY_S
 
-    def not_taken(self, head: JobHead, exc: CactusridgeError) -> None:
+    def takeover_failed(self, head: JobHead, exc: CactusridgeError) -> None:
         """Log a failed takeover of a job.
 
         If rows of the job are unreadable, the next attempt is delayed,
@@ -56,7 +56,9 @@
         """
         logs.emit(events.TAKE_FAILED, job=head.id, error=str(exc))
         if isinstance(exc, UnreadableRecord):
-            self._since[head.id] = self._clock.monotonic() + UNREADABLE_PAUSE_S
+            self._orphaned_since[head.id] = (
+                self._clock.monotonic() + UNREADABLE_PAUSE_S
+            )
 
     def rank(self, head: JobHead) -> int:
         """Return this entry's rank for a job among the live entries, from 0."""
--- a/cactusridge/jobs/pace.py
+++ b/cactusridge/jobs/pace.py
@@ -4,24 +4,24 @@
 WEIGHT = 0.1
 
 
-class Pace:
+class RunTimeEstimator:
     """Moving averages of the seconds per event and the events per item."""
 
     def __init__(self) -> None:
-        """Start without data; ``left_s`` is 0 until an item has completed."""
+        """Start without data; ``remaining_s`` is 0 until an item completes."""
         self._event_s = float(0)
         self._events = float(0)
 
-    def ran(self, events: int, took_s: float) -> None:
-        """Record a run of ``took_s`` seconds that produced ``events``."""
+    def record_run(self, events: int, run_s: float) -> None:
+        """Record a run of ``run_s`` seconds that produced ``events``."""
         if events > 0:
-            self._event_s = _mean(self._event_s, took_s / events)
+            self._event_s = _moving_average(self._event_s, run_s / events)
 
-    def completed(self, events: int) -> None:
+    def record_completion(self, events: int) -> None:
         """Record that an item completed with ``events`` events in total."""
-        self._events = _mean(self._events, events)
+        self._events = _moving_average(self._events, events)
 
-    def left_s(self, events: int) -> float:
+    def remaining_s(self, events: int) -> float:
         """Return the expected remaining run time of an item, in seconds.
 
         ``events`` is the number of events that the item has produced.
@@ -29,7 +29,7 @@
         return max(0, self._events - events) * self._event_s
 
 
-def _mean(mean: float, newest: float) -> float:
+def _moving_average(mean: float, newest: float) -> float:
     """Return the moving average updated with the value ``newest``.
 
     The first value becomes the average.
--- a/cactusridge/jobs/payloads.py
+++ b/cactusridge/jobs/payloads.py
@@ -9,7 +9,7 @@
 from cactusridge.errors import BadRequest, NotFound
 from cactusridge.jobs.keys import payload_prefix
 from cactusridge.jobs.model import JobItem
-from cactusridge.jobs.pieces import cut
+from cactusridge.jobs.pieces import split_text
 from cactusridge.store.fields import Fields
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.row_reader import RowReader
@@ -20,8 +20,8 @@
 # stay below one megabyte, the limit of a transaction. Longer payloads go into
 # an object, which costs an extra call of 25 ms.
 INLINE_CHARS = 500_000
-OBJECT = 'object'
-TEXT = 'text'
+OBJECT_FIELD = 'object'
+TEXT_FIELD = 'text'
 BASE64 = re.compile('[A-Za-z0-9+/=]*')
 
 
@@ -51,10 +51,10 @@
         if len(text) > INLINE_CHARS:
             name = f'job-{job_id}-{unique}'
             self._objects.put(name, text.encode(), Priority.acceptance)
-            return [Write(f'{prefix}0000', {OBJECT: name})]
+            return [Write(f'{prefix}0000', {OBJECT_FIELD: name})]
         return [
-            Write(f'{prefix}{number:04}', {TEXT: piece})
-            for number, piece in enumerate(cut(text))
+            Write(f'{prefix}{number:04}', {TEXT_FIELD: piece})
+            for number, piece in enumerate(split_text(text))
         ]
 
     def read(self, job_id: str) -> list[JobItem]:
@@ -64,12 +64,12 @@
         """
         prefix = payload_prefix(job_id)
         scanned = self._table.scan(prefix, Priority.commit)
-        rows = [row for row in scanned if self._is_ours(row, prefix)]
+        rows = [row for row in scanned if self._is_payload_row(row, prefix)]
         if not rows:
             raise NotFound(f'no job {job_id}')
-        raw = self._raw(rows)
+        raw = self._payload_bytes(rows)
         try:
-            return items_in(raw)
+            return parse_items(raw)
         except UnreadableField as exc:
             self._reader.refuse(rows[0], str(exc))
 
@@ -79,24 +79,24 @@
         Raises StoreUnavailable.
         """
         rows = self._table.scan(payload_prefix(job_id), Priority.report)
-        for piece in self._reader.readable(rows, _piece):
+        for piece in self._reader.readable(rows, _parse_piece):
             if piece.object_name:
                 self._objects.drop(piece.object_name, Priority.report)
         return [Write(row.key, None) for row in rows]
 
-    def _is_ours(self, row: Row, prefix: str) -> bool:
+    def _is_payload_row(self, row: Row, prefix: str) -> bool:
         """Return whether a row's key is that of a payload; log it if not."""
-        ours = row.key.removeprefix(prefix).isdecimal()
-        if not ours:
+        is_payload_row = row.key.removeprefix(prefix).isdecimal()
+        if not is_payload_row:
             self._reader.report(row, 'the key is not that of a payload row')
-        return ours
+        return is_payload_row
 
-    def _raw(self, rows: list[Row]) -> bytes:
+    def _payload_bytes(self, rows: list[Row]) -> bytes:
         """Join the rows of a payload; raise UnreadableRecord."""
-        pieces = [self._reader.read(row, _piece) for row in rows]
+        pieces = [self._reader.read(row, _parse_piece) for row in rows]
         numbers = [row.key.rpartition('.')[-1] for row in rows]
-        wanted = [f'{number:04}' for number in range(len(rows))]
-        if None in pieces or numbers != wanted:
+        expected = [f'{number:04}' for number in range(len(rows))]
+        if None in pieces or numbers != expected:
             self._reader.refuse(
                 rows[0], f'the rows of the payload are {numbers}'
             )
@@ -116,7 +116,7 @@
     object_name: str
 
 
-def items_in(raw: bytes) -> list[JobItem]:
+def parse_items(raw: bytes) -> list[JobItem]:
     """Parse the items from the bytes of a payload; raise UnreadableField."""
     try:
         entries = wire.decode(raw)
@@ -124,16 +124,16 @@
         raise UnreadableField(str(exc)) from exc
     if not isinstance(entries, list):
         raise UnreadableField('the items are not a list')
-    return [_item(entry) for entry in entries]
+    return [_parse_item(entry) for entry in entries]
 
 
-def _piece(row: Row) -> Piece:
+def _parse_piece(row: Row) -> Piece:
     fields = Fields(row.value)
-    name = fields.text(OBJECT, '')
-    return Piece('' if name else fields.text(TEXT), name)
+    name = fields.text(OBJECT_FIELD, '')
+    return Piece('' if name else fields.text(TEXT_FIELD), name)
 
 
-def _item(entry: Any) -> JobItem:
+def _parse_item(entry: Any) -> JobItem:
     if not isinstance(entry, list) or len(entry) != len(JobItem._fields):
         raise UnreadableField('an item is not a list of its fields')
     fields = Fields(dict(zip(JobItem._fields, entry, strict=True)))
--- a/cactusridge/jobs/pieces.py
+++ b/cactusridge/jobs/pieces.py
@@ -5,7 +5,7 @@
 PIECE_CHARS = 16_000
 
 
-def cut(text: str) -> list[str]:
+def split_text(text: str) -> list[str]:
     """Split ``text`` into pieces that fit into a row.
 
     An empty text gives one empty piece.
--- a/cactusridge/jobs/result_rows.py
+++ b/cactusridge/jobs/result_rows.py
@@ -5,7 +5,7 @@
 
 from cactusridge.jobs.keys import POSITION_DIGITS, result_prefix
 from cactusridge.jobs.model import ItemState, Result
-from cactusridge.jobs.pieces import cut
+from cactusridge.jobs.pieces import split_text
 from cactusridge.store.fields import Fields
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write
@@ -15,12 +15,14 @@
 PAGE_RESULTS = 30
 
 
-def rows_of(job_id: str, position: int, result: Result) -> Iterable[Write]:
+def result_writes(
+    job_id: str, position: int, result: Result
+) -> Iterable[Write]:
     """Yield the rows of the result at ``position``.
 
     All rows after the first hold only further pieces of the output.
     """
-    first, *others = cut(result.output)
+    first, *others = split_text(result.output)
     key = f'{result_prefix(job_id)}{position:0{POSITION_DIGITS}}'
     yield Write(
         key,
@@ -30,7 +32,7 @@
         yield Write(f'{key}.{number:04}', {'more': piece})
 
 
-def start_after(job_id: str, position: int) -> str:
+def scan_start(job_id: str, position: int) -> str:
     """Return the key after which a scan starts at ``position``.
 
     The key is empty for position 0.
@@ -40,7 +42,7 @@
     return f'{result_prefix(job_id)}{position - 1:0{POSITION_DIGITS}}~'
 
 
-def without_last(rows: list[Row]) -> list[Row]:
+def drop_last_result(rows: list[Row]) -> list[Row]:
     """Drop the rows of the last result, which may be incomplete.
 
     If all rows belong to one result, return all of them.
@@ -71,11 +73,11 @@
         rows = self._table.scan(
             result_prefix(job_id),
             Priority.report,
-            start_after(job_id, after),
+            scan_start(job_id, after),
             PAGE_RESULTS,
         )
         if len(rows) == PAGE_RESULTS:
-            rows = without_last(rows)
+            rows = drop_last_result(rows)
         return self.read(rows, after)
 
     def read(self, rows: Iterable[Row], first: int) -> list[Result]:
@@ -86,37 +88,43 @@
         position ``first``.
         """
         found: list[Result] = []
-        ours = filter(self._is_ours, rows)
-        for place, group in itertools.groupby(ours, _position):
-            wanted = f'{first + len(found):0{POSITION_DIGITS}}'
+        result_rows = filter(self._is_result_row, rows)
+        for found_position, group in itertools.groupby(result_rows, _position):
+            expected_position = f'{first + len(found):0{POSITION_DIGITS}}'
             try:
-                found.append(self._result(list(group), place, wanted))
+                found.append(
+                    self._result(list(group), found_position, expected_position)
+                )
             except UnreadableRecord:
                 if not found:
                     raise
                 break
         return found
 
-    def _is_ours(self, row: Row) -> bool:
+    def _is_result_row(self, row: Row) -> bool:
         """Return whether a row's key is that of a result; log it if not."""
         position = _position(row)
-        ours = position.isdecimal() and len(position) == POSITION_DIGITS
-        if not ours:
+        is_result = position.isdecimal() and len(position) == POSITION_DIGITS
+        if not is_result:
             self._reader.report(row, 'the key is not that of a result row')
-        return ours
+        return is_result
 
-    def _result(self, rows: list[Row], place: str, wanted: str) -> Result:
+    def _result(
+        self, rows: list[Row], found_position: str, expected_position: str
+    ) -> Result:
         """Assemble the result in ``rows``; raise UnreadableRecord.
 
-        ``place`` is the position in the keys and ``wanted`` the position
-        that has to come next.
+        ``found_position`` is the position in the keys of the rows and
+        ``expected_position`` the position that has to come next.
         """
-        if place != wanted:
+        if found_position != expected_position:
             self._reader.refuse(
-                rows[0], f'the result {wanted} before it is missing'
+                rows[0], f'the result {expected_position} before it is missing'
             )
-        result = self._reader.read(rows[0], _first)
-        others = [self._reader.read(row, _more) for row in rows[1:]]
+        result = self._reader.read(rows[0], _parse_first)
+        others = [
+            self._reader.read(row, _parse_continuation) for row in rows[1:]
+        ]
         if result is None or None in others:
             self._reader.refuse(rows[0], 'a row of the result was removed')
         numbers = [row.key.rpartition('.')[-1] for row in rows[1:]]
@@ -133,7 +141,7 @@
     return row.key.split('.', 2)[1]
 
 
-def _first(row: Row) -> Result:
+def _parse_first(row: Row) -> Result:
     if row.key.count('.') != 1:
         raise UnreadableField('the first row of the result is missing')
     fields = Fields(row.value)
@@ -144,5 +152,5 @@
     )
 
 
-def _more(row: Row) -> str:
+def _parse_continuation(row: Row) -> str:
     return Fields(row.value).text('more')
--- a/cactusridge/jobs/running.py
+++ b/cactusridge/jobs/running.py
@@ -9,7 +9,7 @@
 from cactusridge.jobs.item_run import ItemTask
 
 
-class Running(NamedTuple):
+class RunningItem(NamedTuple):
     """A batch item in flight at a replica.
 
     ``started_at`` is in seconds of the monotonic clock. ``events_before``
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -15,11 +15,11 @@
 from cactusridge.fleet.replica import Replica
 from cactusridge.jobs.free_replicas import FreeReplicas
 from cactusridge.jobs.held_job import HeldJob
-from cactusridge.jobs.item_run import ItemRun, ItemTask, RunEnd
-from cactusridge.jobs.look_pacer import LookPacer
+from cactusridge.jobs.item_run import ItemRun, ItemTask, RunOutcome
+from cactusridge.jobs.look_pacer import PassPacer
 from cactusridge.jobs.model import ItemState
-from cactusridge.jobs.running import Running
-from cactusridge.jobs.waiting_line import Waiting, WaitingLine
+from cactusridge.jobs.running import RunningItem
+from cactusridge.jobs.waiting_line import WaitingItem, WaitingLine
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
@@ -34,17 +34,17 @@
         fleet: FleetView,
         runner: Runner,
         clock: Clock,
-        line: WaitingLine,
+        queue: WaitingLine,
         sharing: BatchSharing,
         claims: ClaimRule,
     ) -> None:
-        """Run items in the order of ``line``.
+        """Run items in the order of ``queue``.
 
         ``sharing`` selects the replicas where this entry runs items, and
         ``claims`` decides between entries that want the same slot.
         """
         self._cells = sharing.cells
-        self._pacer = LookPacer(clock, self._cells)
+        self._pacer = PassPacer(clock, self._cells)
         self.wake = self._pacer.wake
         self.may_dispatch = Event()
         self.jobs: dict[str, HeldJob] = {}
@@ -54,8 +54,8 @@
         self._runner = runner
         self._clock = clock
         self._claims = claims
-        self._line = line
-        self._running: list[Running] = []
+        self._queue = queue
+        self._running: list[RunningItem] = []
 
     @property
     def loads(self) -> LoadTable:
@@ -76,7 +76,7 @@
         """Wait until a pass is due, then preempt and start items."""
         self._pacer.wait(self._busy())
         METER.steps['scheduler_looks'] += 1
-        self.make_room()
+        self.preempt_items()
         if self.may_dispatch.is_set():
             self.start_items()
 
@@ -85,22 +85,22 @@
         if self._busy():
             self.wake.set()
 
-    def make_room(self) -> None:
+    def preempt_items(self) -> None:
         """Preempt the newest items at replicas that exceed their slots."""
         replicas = {each.replica.life: each.replica for each in self._running}
         for replica in replicas.values():
             loads = self._loads_at(replica)
             count = shares_to_yield(replica.slots, loads)[self._name]
             if count:
-                self._end_newest(replica, count)
+                self._preempt_newest(replica, count)
 
     def start_items(self) -> None:
         """Claim free slots for the waiting items, the most urgent first."""
         full = set()
-        for waiting in self._line.urgent_first(self.jobs.values()):
+        for waiting in self._queue.urgent_first(self.jobs.values()):
             if waiting.route.name in full:
                 continue
-            replica = self._free.roomiest(waiting.route)
+            replica = self._free.with_most_room(waiting.route)
             if replica is None:
                 full.add(waiting.route.name)
             else:
@@ -121,7 +121,7 @@
     def _busy(self) -> bool:
         return bool(self.jobs or self._running)
 
-    def _claim(self, waiting: Waiting, replica: Replica) -> None:
+    def _claim(self, waiting: WaitingItem, replica: Replica) -> None:
         """Announce to the peers a claim on a slot for an item."""
         waiting.job.pending.pop(waiting.task.index)
         claim = contextlib.ExitStack()
@@ -129,11 +129,11 @@
         # the next item takes it into account.
         claim.enter_context(self.loads.running(replica.life, WorkKind.claim))
         METER.steps['claims'] += 1
-        spawn(Part.claims, self._settle, waiting, replica, claim)
+        spawn(Part.claims, self._resolve_claim, waiting, replica, claim)
 
-    def _settle(
+    def _resolve_claim(
         self,
-        waiting: Waiting,
+        waiting: WaitingItem,
         replica: Replica,
         claim: contextlib.ExitStack,
     ) -> None:
@@ -152,9 +152,9 @@
     def _may_start(self, job: HeldJob, replica: Replica) -> bool:
         """Return whether an item may use the slot that it has claimed.
 
-        Since the claim was announced, the job may have been dropped or
-        starts suspended. The replica may have left, or restarted: the
-        slots of its new incarnation need new claims.
+        Since the claim was announced, the job may have been dropped, starts
+        may have been suspended, and the replica may have left or restarted.
+        The slots of its new incarnation need new claims.
         """
         if self._fleet.get(replica.life) is None:
             return False
@@ -166,17 +166,17 @@
         loads[self._name] = self.loads.own(replica.life)
         return loads
 
-    def _start(self, waiting: Waiting, replica: Replica) -> None:
+    def _start(self, waiting: WaitingItem, replica: Replica) -> None:
         job, task = waiting.job, waiting.task
         run = ItemRun(task, job.head, self._runner, self._clock)
-        greenlet = PartGreenlet(run.go, replica)
+        greenlet = PartGreenlet(run.execute, replica)
         greenlet.part = Part.items.value
         now = self._clock.monotonic()
-        running = Running(job, task, replica, greenlet, now, task.events)
+        running = RunningItem(job, task, replica, greenlet, now, task.events)
         self._running.append(running)
 
         def ended(_: gevent.Greenlet) -> None:  # noqa: WPS430
-            self._ended(running, waiting.route)
+            self._run_ended(running, waiting.route)
 
         greenlet.link(ended)
         load = self.loads.at(replica.life)
@@ -193,49 +193,51 @@
         )
         greenlet.start()
 
-    def _ended(self, running: Running, route: Route) -> None:
+    def _run_ended(self, running: RunningItem, route: Route) -> None:
         self._running.remove(running)
         job, task = running.job, running.task
-        end = running.greenlet.value
+        run_outcome = running.greenlet.value
         logs.emit(
             events.ITEM_RUN_ENDED,
             job=job.head.id,
             item=task.item.id,
             replica=running.replica.id,
-            outcome=end.value if isinstance(end, RunEnd) else 'yielded',
+            outcome=run_outcome.value
+            if isinstance(run_outcome, RunOutcome)
+            else 'yielded',
             events=task.events,
             ran_s=round(self._clock.monotonic() - running.started_at, 4),
         )
-        self._learn(running, route)
-        if end == RunEnd.completed:
-            self._line.end(job, task, ItemState.completed)
-        elif end == RunEnd.impossible:
-            self._line.end(job, task, ItemState.given_up)
-        elif end == RunEnd.failed:
+        self._record_run_time(running, route)
+        if run_outcome == RunOutcome.completed:
+            self._queue.finish(job, task, ItemState.completed)
+        elif run_outcome == RunOutcome.impossible:
+            self._queue.finish(job, task, ItemState.given_up)
+        elif run_outcome == RunOutcome.failed:
             self._failed(job, task, route)
         else:
-            if end == RunEnd.interrupted:
-                self._line.pause(task)
+            if run_outcome == RunOutcome.interrupted:
+                self._queue.delay(task)
             job.pending[task.index] = task
         self.wake.set()
 
-    def _learn(self, running: Running, route: Route) -> None:
+    def _record_run_time(self, running: RunningItem, route: Route) -> None:
         """Record the run time of a run, and of an item that has completed."""
-        pace = self._line.pace(route)
-        took_s = self._clock.monotonic() - running.started_at
-        pace.ran(running.events_made, took_s)
-        if running.greenlet.value == RunEnd.completed:
-            pace.completed(running.task.events)
+        estimator = self._queue.run_times(route)
+        run_s = self._clock.monotonic() - running.started_at
+        estimator.record_run(running.events_made, run_s)
+        if running.greenlet.value == RunOutcome.completed:
+            estimator.record_completion(running.task.events)
 
     def _failed(self, job: HeldJob, task: ItemTask, route: Route) -> None:
-        job.note_failure(task)
+        job.record_failure(task)
         if task.failures >= route.attempts:
-            self._line.end(job, task, ItemState.given_up)
+            self._queue.finish(job, task, ItemState.given_up)
             return
-        self._line.pause(task)
+        self._queue.delay(task)
         job.pending[task.index] = task
 
-    def _end_newest(self, replica: Replica, count: int) -> None:
+    def _preempt_newest(self, replica: Replica, count: int) -> None:
         life = replica.life
         here = [each for each in self._running if each.replica.life == life]
         live = [each for each in here if not each.greenlet.dead]
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -16,16 +16,15 @@
 from cactusridge.store.unreadable import UnreadableField, UnreadableRecord
 
 PREFIX = 'members//'
-# Interval in seconds between two renewals of an entry's row, each followed by
-# a read of the membership list. Per entry that is two calls per second to the
-# store, which handles some thousands per second.
+# Interval in seconds between renewals, each followed by a read: two calls per
+# second and entry to a store that handles some thousands per second.
 RENEW_S = 1.0
 # Lease in seconds: an entry whose row has not changed for this long counts as
 # dead. The lease covers two lost renewals and the time to read a third one.
 LEASE_S = 3.2
 # Safety margin in seconds: an entry stops relying on its lease this long before
 # other entries may take over its jobs.
-MARGIN_S = 0.7
+LEASE_MARGIN_S = 0.7
 MAX_PORT = 65_535
 
 
@@ -46,7 +45,7 @@
     since_ms: int = 0
 
 
-class Seen(NamedTuple):
+class MemberRecord(NamedTuple):
     """A member, the version of its row and when that version was read.
 
     ``seen_at`` is in seconds of the monotonic clock. ``member`` is None if
@@ -77,14 +76,14 @@
         self._tenure = tenure
         self._table = table
         self._clock = clock
-        self._seen: dict[str, Seen] = {}
+        self._records: dict[str, MemberRecord] = {}
         self._reader = RowReader()
         self._read_at: float | None = None
-        self._left = False
+        self._has_left = False
         self._on_read: Callable[[], None] | None = None
         # Serialises the writes of this entry's row: a renewal that reached
         # the store after the removal would restore the row for a lease.
-        self._writing = RLock()
+        self._write_lock = RLock()
 
     def on_read(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each read of the membership list.
@@ -97,9 +96,9 @@
     def step(self) -> None:
         """Renew the lease and read the members once.
 
-        Failures of the store are logged and not raised.
+        An unreachable store is logged and not raised.
         """
-        if self._left:
+        if self._has_left:
             return
         try:
             self._renew()
@@ -107,22 +106,21 @@
             logs.emit(events.RENEWAL_FAILED, error=str(exc))
         try:
             self._read()
-        except StoreUnavailable as unread:
+        except StoreUnavailable as read_error:
             # Without a read, other entries may have renewed their leases
             # unnoticed: all leases count anew from the next read.
             self._read_at = None
-            logs.emit(events.RENEWAL_FAILED, error=str(unread))
+            logs.emit(events.RENEWAL_FAILED, error=str(read_error))
 
     def may_dispatch(self) -> bool:
         """Return whether no other entry can have taken over this one's jobs.
 
-        That holds as long as this entry's lease, less a safety margin, has
-        not expired.
+        That holds until this entry's lease, less a margin, has expired.
         """
         if self.renewed_at is None:
             return False
-        held_s = self._clock.monotonic() - self.renewed_at
-        return held_s < LEASE_S - MARGIN_S
+        lease_age_s = self._clock.monotonic() - self.renewed_at
+        return lease_age_s < LEASE_S - LEASE_MARGIN_S
 
     def in_touch(self) -> bool:
         """Return whether both the last read and the last renewal are recent.
@@ -132,26 +130,26 @@
         """
         if self._read_at is None:
             return False
-        read_s = self._clock.monotonic() - self._read_at
-        return read_s < LEASE_S - MARGIN_S and self.may_dispatch()
+        read_age_s = self._clock.monotonic() - self._read_at
+        return read_age_s < LEASE_S - LEASE_MARGIN_S and self.may_dispatch()
 
     @property
     def listed(self) -> bool:
         """Whether the members have been read and this entry is one of them."""
-        return bool(self._seen) and self.renewed_at is not None
+        return bool(self._records) and self.renewed_at is not None
 
     def members(self) -> list[Member]:
         """Return the live members, including this entry.
 
-        While the store cannot be read, these are the members known from
-        the last read.
+        While the rows cannot be read, these are the members of the last
+        read.
         """
         others = [
-            seen.member
-            for seen in self._seen.values()
-            if seen.member is not None
-            and seen.member.name != self.me.name
-            and not self._is_silent(seen)
+            record.member
+            for record in self._records.values()
+            if record.member is not None
+            and record.member.name != self.me.name
+            and not self._is_expired(record)
         ]
         return [self.me, *others]
 
@@ -166,93 +164,100 @@
             return life == self.me.life
         if self._read_at is None:
             return True
-        seen = self._seen.get(name)
-        if seen is None:
+        record = self._records.get(name)
+        if record is None:
             return False
-        if seen.member is not None and seen.member.life != life:
+        if record.member is not None and record.member.life != life:
             return False
-        return not self._is_silent(seen)
+        return not self._is_expired(record)
 
     def leave(self) -> None:
-        """Remove this entry's row so that others need not await lease expiry.
+        """Remove this entry's row so that others need not await its expiry.
 
         Raises StoreUnavailable, WriteUnknown.
         """
-        self._left = True
+        self._has_left = True
         write = Write(f'{PREFIX}{self.me.name}', None)
-        with self._writing:
+        with self._write_lock:
             self._table.transact([], [write], Priority.lease)
 
-    def _is_silent(self, seen: Seen) -> bool:
-        """Return whether the lease of a member has expired.
+    def _is_expired(self, record: MemberRecord) -> bool:
+        """Return whether a member's lease has expired.
 
-        A lease does not expire while the members cannot be read.
+        No lease counts as expired after a read that failed.
         """
         if self._read_at is None:
             return False
-        return self._clock.monotonic() - seen.seen_at >= LEASE_S
+        return self._clock.monotonic() - record.seen_at >= LEASE_S
 
     def _renew(self) -> None:
         key = f'{PREFIX}{self.me.name}'
-        with self._writing:
-            if self._left:
+        with self._write_lock:
+            if self._has_left:
                 return
             since_ms = self._tenure.since_ms(self._table, key)
             self.me = self.me._replace(since_ms=since_ms)
-            beat = {'beat': secrets.token_hex(4), **self._tenure.stamp()}
-            write = Write(key, {**self.me._asdict(), **beat})
+            heartbeat = {
+                'beat': secrets.token_hex(4),
+                **self._tenure.renewal_field(),
+            }
+            write = Write(key, {**self.me._asdict(), **heartbeat})
             sent_at = self._clock.monotonic()
             self._table.transact([], [write], Priority.lease)
         self.renewed_at = sent_at
-        self._tenure.renewed()
+        self._tenure.confirm_renewal()
 
     def _read(self) -> None:
         rows = self._table.scan(PREFIX, Priority.lease)
         now = self._clock.monotonic()
-        anew = self._read_at is None
-        known = set(self._seen)
-        self._seen = {
-            row.key.removeprefix(PREFIX): self._note(row, now, anew)
+        restart = self._read_at is None
+        known = set(self._records)
+        self._records = {
+            row.key.removeprefix(PREFIX): self._updated_record(
+                row, now, restart
+            )
             for row in rows
             if not row.absent
         }
         self._read_at = now
         if self._on_read is not None:
             self._on_read()
-        for name in set(self._seen) - known:
+        for name in set(self._records) - known:
             logs.emit(events.MEMBER_FOUND, member=name)
-        for gone in known - set(self._seen):
-            logs.emit(events.MEMBER_GONE, member=gone)
-
-    def _note(self, row: Row, now: float, anew: bool) -> Seen:
-        known = self._seen.get(row.key.removeprefix(PREFIX))
-        if known and not anew and known.version == row.version:
+        for departed in known - set(self._records):
+            logs.emit(events.MEMBER_GONE, member=departed)
+
+    def _updated_record(
+        self, row: Row, now: float, restart: bool
+    ) -> MemberRecord:
+        known = self._records.get(row.key.removeprefix(PREFIX))
+        if known and not restart and known.version == row.version:
             return known
         try:
-            member = self._reader.read(row, _member)
+            member = self._reader.read(row, _parse_member)
         except UnreadableRecord:
-            return self._unreadable(known, row, now, anew)
-        return Seen(member, row.version, now)
+            return self._unreadable_record(known, row, now, restart)
+        return MemberRecord(member, row.version, now)
 
-    def _unreadable(
+    def _unreadable_record(
         self,
-        known: Seen | None,
+        known: MemberRecord | None,
         row: Row,
         now: float,
-        anew: bool,
-    ) -> Seen:
+        restart: bool,
+    ) -> MemberRecord:
         """Return the record of a member whose row has become unreadable.
 
         An unreadable row neither renews a lease nor ends it early, since
         another writer may have overwritten the row of a live entry.
         """
         if known is None:
-            return Seen(None, row.version, now)
-        seen_at = now if anew else known.seen_at
-        return Seen(known.member, row.version, seen_at)
+            return MemberRecord(None, row.version, now)
+        seen_at = now if restart else known.seen_at
+        return MemberRecord(known.member, row.version, seen_at)
 
 
-def _member(row: Row) -> Member:
+def _parse_member(row: Row) -> Member:
     fields = Fields(row.value)
     member = Member(
         fields.text('name'),
--- a/cactusridge/jobs/step.py
+++ b/cactusridge/jobs/step.py
@@ -4,15 +4,15 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
-from cactusridge.jobs.keys import INDEX_DIGITS, partial_key, progress_key
-from cactusridge.jobs.model import Partial, Progress, Result
-from cactusridge.jobs.result_rows import rows_of
+from cactusridge.jobs.keys import INDEX_DIGITS, checkpoint_key, progress_key
+from cactusridge.jobs.model import Checkpoint, Progress, Result
+from cactusridge.jobs.result_rows import result_writes
 from cactusridge.store.fields import Fields
 from cactusridge.store.table import Row, Write
 from cactusridge.store.unreadable import UnreadableField
 
 
-class ItemEnd(NamedTuple):
+class FinishedItem(NamedTuple):
     """A finished item, its index in the job and its result.
 
     ``checkpointed`` tells whether the store has a checkpoint of the item,
@@ -24,24 +24,26 @@
     checkpointed: bool = False
 
 
-class Step(NamedTuple):
+class JobChanges(NamedTuple):
     """Changes that the holder of a job commits in one transaction.
 
     The results of ``ended`` are appended to the listed results.
     ``failures`` maps every item index to its number of failed runs and
-    replaces the stored counts. ``partials`` replace the stored checkpoints
-    of their items.
+    replaces the stored counts. ``checkpoints`` replace the stored
+    checkpoints of their items.
     """
 
-    ended: Sequence[ItemEnd] = ()
+    ended: Sequence[FinishedItem] = ()
     failures: Mapping[str, int] = MappingProxyType({})
-    partials: Sequence[Partial] = ()
+    checkpoints: Sequence[Checkpoint] = ()
 
 
-def progress_after(progress: Progress, step: Step, write_id: str) -> Progress:
-    """Return ``progress`` after ``step``, without a row version."""
-    listed = [*progress.listed, *(end.index for end in step.ended)]
-    return Progress(listed, dict(step.failures), write_id)
+def progress_after(
+    progress: Progress, changes: JobChanges, write_id: str
+) -> Progress:
+    """Return ``progress`` after ``changes``, without a row version."""
+    listed = [*progress.listed, *(end.index for end in changes.ended)]
+    return Progress(listed, dict(changes.failures), write_id)
 
 
 def progress_value(progress: Progress) -> dict[str, Any]:
@@ -51,7 +53,7 @@
     return fields
 
 
-def progress_in(row: Row) -> Progress:
+def parse_progress(row: Row) -> Progress:
     """Parse the progress of a job from its row; raise UnreadableField."""
     fields = Fields(row.value)
     listed = fields.wholes('listed')
@@ -65,7 +67,7 @@
     )
 
 
-def partial_in(row: Row) -> Partial:
+def parse_checkpoint(row: Row) -> Checkpoint:
     """Parse a checkpoint from its row; raise UnreadableField."""
     index = row.key.partition('.')[-1]
     fields = Fields(row.value)
@@ -74,25 +76,25 @@
         raise UnreadableField(f'the id of the last event is {last_id!r}')
     if not index.isdecimal() or len(index) != INDEX_DIGITS:
         raise UnreadableField(f'the item index is {index!r}')
-    return Partial(int(index), last_id, fields.text('output'))
+    return Checkpoint(int(index), last_id, fields.text('output'))
 
 
 def step_writes(
     job_id: str,
     progress: Progress,
-    following: Progress,
-    step: Step,
+    updated: Progress,
+    changes: JobChanges,
 ) -> Iterator[Write]:
-    """Yield the writes that commit ``step``.
+    """Yield the writes that commit ``changes``.
 
-    ``progress`` is the progress before the step and ``following`` the
-    progress after it.
+    ``progress`` is the progress before the changes and ``updated`` the
+    progress after them.
     """
-    yield Write(progress_key(job_id), progress_value(following))
-    for position, end in enumerate(step.ended, len(progress.listed)):
-        yield from rows_of(job_id, position, end.result)
+    yield Write(progress_key(job_id), progress_value(updated))
+    for position, end in enumerate(changes.ended, len(progress.listed)):
+        yield from result_writes(job_id, position, end.result)
         if end.checkpointed:
-            yield Write(partial_key(job_id, end.index), None)
-    for part in step.partials:
+            yield Write(checkpoint_key(job_id, end.index), None)
+    for part in changes.checkpoints:
         output = {'last_id': part.last_id, 'output': part.output}
-        yield Write(partial_key(job_id, part.index), output)
+        yield Write(checkpoint_key(job_id, part.index), output)
--- a/cactusridge/jobs/tenure.py
+++ b/cactusridge/jobs/tenure.py
@@ -11,18 +11,18 @@
 # Longest time in milliseconds between two renewals that does not interrupt the
 # membership. It is shorter than the lease, after which other entries count an
 # entry as dead.
-UNNOTICED_MS = 3000
-STAMP = 'renewed_ms'
+MAX_RENEWAL_GAP_MS = 3000
+RENEWED_FIELD = 'renewed_ms'
 
 
-class _Stamps(NamedTuple):
+class _RowTimes(NamedTuple):
     """Times in an entry's row, in milliseconds of the store's clock."""
 
     since_ms: int
     renewed_ms: int
 
 
-_UNLISTED = _Stamps(0, 0)
+_NO_TIMES = _RowTimes(0, 0)
 
 
 class Tenure:
@@ -50,32 +50,34 @@
         """
         if self._since_ms is None:
             row = table.read([key], Priority.lease)[0]
-            found = self._found(row)
+            found = self._previous_times(row)
             self._since_ms = found.since_ms
             self._renewed_ms = found.renewed_ms
         now_ms = self._clock.now_ms()
-        if now_ms - self._renewed_ms > UNNOTICED_MS:
+        if now_ms - self._renewed_ms > MAX_RENEWAL_GAP_MS:
             self._since_ms = now_ms
         return self._since_ms
 
-    def stamp(self) -> dict[str, int]:
+    def renewal_field(self) -> dict[str, int]:
         """Return the field of the row with the time of the renewal."""
         self._stamped_ms = self._clock.now_ms()
-        return {STAMP: self._stamped_ms}
+        return {RENEWED_FIELD: self._stamped_ms}
 
-    def renewed(self) -> None:
+    def confirm_renewal(self) -> None:
         """Record that the store has accepted the last stamped row."""
         self._renewed_ms = self._stamped_ms
 
-    def _found(self, row: Row) -> _Stamps:
+    def _previous_times(self, row: Row) -> _RowTimes:
         """Return the times in the row of the previous process."""
         try:
-            found = self._reader.read(row, _stamps_in)
+            found = self._reader.read(row, _parse_times)
         except UnreadableRecord:
-            return _UNLISTED
-        return found or _UNLISTED
+            return _NO_TIMES
+        return found or _NO_TIMES
 
 
-def _stamps_in(row: Row) -> _Stamps:
+def _parse_times(row: Row) -> _RowTimes:
     fields = Fields(row.value)
-    return _Stamps(fields.whole('since_ms', 0), fields.whole(STAMP, 0))
+    return _RowTimes(
+        fields.whole('since_ms', 0), fields.whole(RENEWED_FIELD, 0)
+    )
--- a/cactusridge/jobs/urgency.py
+++ b/cactusridge/jobs/urgency.py
@@ -27,10 +27,10 @@
 
     due_s: float
     give_up_s: float
-    left_s: float
+    remaining_s: float
 
 
-class Standing(enum.IntEnum):
+class UrgencyClass(enum.IntEnum):
     """Urgency classes of items; the lowest value starts first."""
 
     expiring = 0
@@ -42,16 +42,16 @@
     """Ranks waiting items; the item with the lowest rank starts first."""
 
     @abc.abstractmethod
-    def rank(self, times: ItemTimes) -> tuple[Standing, float]:
+    def rank(self, times: ItemTimes) -> tuple[UrgencyClass, float]:
         """Return the rank of an item in the queue."""
 
 
 class DueFirst(Urgency):
     """Baseline policy: orders items by due time, even if already late."""
 
-    def rank(self, times: ItemTimes) -> tuple[Standing, float]:
+    def rank(self, times: ItemTimes) -> tuple[UrgencyClass, float]:
         """Return a rank that depends on the due time alone."""
-        return Standing.on_time, times.due_s
+        return UrgencyClass.on_time, times.due_s
 
 
 class OnTimeFirst(Urgency):
@@ -61,11 +61,11 @@
     late item does not wait until it is given up.
     """
 
-    def rank(self, times: ItemTimes) -> tuple[Standing, float]:
+    def rank(self, times: ItemTimes) -> tuple[UrgencyClass, float]:
         """Return the urgency class and, within the class, the due time."""
-        reserve_s = max(RESERVE_S, RESERVE_RUNS * times.left_s)
+        reserve_s = max(RESERVE_S, RESERVE_RUNS * times.remaining_s)
         if times.give_up_s < reserve_s:
-            return Standing.expiring, times.due_s
-        if times.due_s < times.left_s:
-            return Standing.late, times.due_s
-        return Standing.on_time, times.due_s
+            return UrgencyClass.expiring, times.due_s
+        if times.due_s < times.remaining_s:
+            return UrgencyClass.late, times.due_s
+        return UrgencyClass.on_time, times.due_s
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -9,8 +9,8 @@
 from cactusridge.jobs.held_job import HeldJob
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState
-from cactusridge.jobs.pace import Pace
-from cactusridge.jobs.urgency import ItemTimes, Standing, Urgency
+from cactusridge.jobs.pace import RunTimeEstimator
+from cactusridge.jobs.urgency import ItemTimes, Urgency, UrgencyClass
 from cactusridge.quarantine.suspects import Suspects
 from cactusridge.store.store_clock import MS, StoreClock
 
@@ -22,10 +22,10 @@
 GIVE_UP_MARGIN_S = 3.0
 
 
-class Waiting(NamedTuple):
+class WaitingItem(NamedTuple):
     """An item that may start, its rank in the queue and its route."""
 
-    rank: tuple[Standing, float]
+    rank: tuple[UrgencyClass, float]
     index: int
     job: HeldJob
     task: ItemTask
@@ -49,46 +49,46 @@
         self._store_clock = store_clock
         self._catalog = catalog
         self._urgency = urgency
-        self._paces: dict[str, Pace] = {}
+        self._run_times: dict[str, RunTimeEstimator] = {}
         self._not_before: dict[str, float] = {}
         self._routes = RouteMatches()
 
-    def urgent_first(self, jobs: Iterable[HeldJob]) -> list[Waiting]:
+    def urgent_first(self, jobs: Iterable[HeldJob]) -> list[WaitingItem]:
         """Return the items of ``jobs`` that may start, most urgent first."""
-        return sorted(self._waiting(list(jobs)), key=_place)
+        return sorted(self._waiting_items(list(jobs)), key=_sort_key)
 
-    def pace(self, route: Route) -> Pace:
+    def run_times(self, route: Route) -> RunTimeEstimator:
         """Return the run time estimator of a route's items."""
-        found = self._paces.get(route.name)
+        found = self._run_times.get(route.name)
         if found is None:
-            found = Pace()
-            self._paces[route.name] = found
+            found = RunTimeEstimator()
+            self._run_times[route.name] = found
         return found
 
-    def pause(self, task: ItemTask) -> None:
+    def delay(self, task: ItemTask) -> None:
         """Delay the next start of an interrupted or failed item."""
         now = self._clock.monotonic()
         self._not_before[task.item.id] = now + INTERRUPTED_PAUSE_S
 
-    def end(self, job: HeldJob, task: ItemTask, state: ItemState) -> None:
+    def finish(self, job: HeldJob, task: ItemTask, state: ItemState) -> None:
         """Record the final state of an item and remove it from its job."""
         job.pending.pop(task.index, None)
         self._not_before.pop(task.item.id, None)
-        job.note_end(task, state)
+        job.record_end(task, state)
 
-    def _waiting(self, jobs: list[HeldJob]) -> list[Waiting]:
+    def _waiting_items(self, jobs: list[HeldJob]) -> list[WaitingItem]:
         now = self._clock.monotonic()
         found = []
         for job in jobs:
             for task in list(job.pending.values()):
                 if self._not_before.get(task.item.id, 0) > now:
                     continue
-                waiting = self._place_in_line(job, task)
+                waiting = self._queue_entry(job, task)
                 if waiting is not None:
                     found.append(waiting)
         return found
 
-    def _place_in_line(self, job: HeldJob, task: ItemTask) -> Waiting | None:
+    def _queue_entry(self, job: HeldJob, task: ItemTask) -> WaitingItem | None:
         """Return the queue entry of an item, or None if it may not start.
 
         An item without a route, or whose time has expired, is given up.
@@ -102,10 +102,10 @@
         route = self._routes.match(catalog, job.head.host, path)
         age_s = (self._store_clock.now_ms() - job.head.created_ms) / MS
         if route is None:
-            self.end(job, task, ItemState.given_up)
+            self.finish(job, task, ItemState.given_up)
             return None
         if age_s > route.give_up_s + GIVE_UP_MARGIN_S:
-            self.end(job, task, ItemState.given_up)
+            self.finish(job, task, ItemState.given_up)
             return None
         if self._suspects.is_held(task.fingerprint):
             # A quarantined item waits until its quarantine ends or its time
@@ -114,11 +114,11 @@
         times = ItemTimes(
             route.due_s - age_s,
             route.give_up_s - age_s,
-            self.pace(route).left_s(task.events),
+            self.run_times(route).remaining_s(task.events),
         )
         rank = self._urgency.rank(times)
-        return Waiting(rank, task.index, job, task, route)
+        return WaitingItem(rank, task.index, job, task, route)
 
 
-def _place(waiting: Waiting) -> tuple[tuple[Standing, float], int]:
+def _sort_key(waiting: WaitingItem) -> tuple[tuple[UrgencyClass, float], int]:
     return waiting.rank, waiting.index
--- a/tests/spoilt_job_case.py
+++ b/tests/spoilt_job_case.py
@@ -11,7 +11,7 @@
     JobItem,
     Result,
 )
-from cactusridge.jobs.step import ItemEnd
+from cactusridge.jobs.step import FinishedItem
 from cactusridge.platform.errors import failure_reply
 from cactusridge.store.unreadable import UnreadableRecord
 from tests.memory_objects import MemoryObjects
@@ -38,9 +38,9 @@
     return JobItem(f'i{number}', f'/p/{number}', {'X-M': 'm'}, 'YQ==', 3)
 
 
-def end(index: int, output: str = 'out') -> ItemEnd:
+def end(index: int, output: str = 'out') -> FinishedItem:
     """Return an item that is done."""
-    return ItemEnd(index, Result(f'i{index}', ItemState.completed, output))
+    return FinishedItem(index, Result(f'i{index}', ItemState.completed, output))
 
 
 def spoilt_texts():
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -20,7 +20,7 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica, ReplicaState
 from cactusridge.jobs.free_replicas import FreeReplicas
-from cactusridge.jobs.look_pacer import LookPacer
+from cactusridge.jobs.look_pacer import PassPacer
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load
 from cactusridge.peers.loads import LoadTable
@@ -103,7 +103,7 @@
 
     def batch(self):
         """Choose a replica for a batch item."""
-        return self.free.roomiest(self.route)
+        return self.free.with_most_room(self.route)
 
 
 class TestLooks(unittest.TestCase):
@@ -112,7 +112,7 @@
     def looks_in_a_second(self, several):
         """Return the looks while a datagram comes every 5 ms."""
         clock = ManualClock(1)
-        pacer = LookPacer(clock, SimpleNamespace(several=several))
+        pacer = PassPacer(clock, SimpleNamespace(several=several))
         looks = 0
         with mock.patch('gevent.sleep', clock.advance):
             while clock.now < 2:
--- a/tests/test_free_replicas.py
+++ b/tests/test_free_replicas.py
@@ -40,7 +40,7 @@
 
     def found(self):
         """Return the life of the replica with the most room, or None."""
-        replica = self.free.roomiest(self.route)
+        replica = self.free.with_most_room(self.route)
         return replica and replica.life
 
     def test_near_first(self):
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -7,9 +7,9 @@
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
 from cactusridge.jobs.intake import (
-    ELSEWHERE_RETRY_S,
-    LOST_RETRY_S,
-    WORD_AGE_S,
+    OUTAGE_RETRY_S,
+    PEER_REPORT_VALID_S,
+    PEER_RETRY_S,
     Intake,
 )
 
@@ -32,7 +32,7 @@
         # Whether the store is lost here, whether a peer has it, how long
         # ago it said so, and whether callers had better go elsewhere.
         (True, True, 0, True),
-        (True, True, WORD_AGE_S * 2, False),
+        (True, True, PEER_REPORT_VALID_S * 2, False),
         (True, False, 0, False),
         (False, True, 0, False),
     )
@@ -46,9 +46,9 @@
     @params(
         # Peers that have the store, how long ago they said so, and when
         # the caller is to come back.
-        (True, 0, ELSEWHERE_RETRY_S),
-        (True, WORD_AGE_S * 2, LOST_RETRY_S),
-        (False, 0, LOST_RETRY_S),
+        (True, 0, PEER_RETRY_S),
+        (True, PEER_REPORT_VALID_S * 2, OUTAGE_RETRY_S),
+        (False, 0, OUTAGE_RETRY_S),
     )
     def test_refused_at_once(self, has_store, age_s, retry_s):
         """Soon if another entry can take the job, else later."""
--- a/tests/test_job_ledger.py
+++ b/tests/test_job_ledger.py
@@ -9,14 +9,14 @@
 from cactusridge.jobs.hold_writer import HoldLost
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.model import (
+    Checkpoint,
     ItemState,
     JobHead,
     JobItem,
     JobState,
-    Partial,
     Result,
 )
-from cactusridge.jobs.step import ItemEnd, Step
+from cactusridge.jobs.step import FinishedItem, JobChanges
 from cactusridge.store.table import Priority
 from standins.faults import FaultKind
 from standins.memory_table import MemoryTable
@@ -31,9 +31,9 @@
     return JobItem(f'i{number}', f'/p/{number}', {'X-M': 'm'}, 'YQ==', 3)
 
 
-def end(index: int, output: str = 'out') -> ItemEnd:
+def end(index: int, output: str = 'out') -> FinishedItem:
     """Return an item that is done."""
-    return ItemEnd(index, Result(f'i{index}', ItemState.completed, output))
+    return FinishedItem(index, Result(f'i{index}', ItemState.completed, output))
 
 
 class LedgerCase(unittest.TestCase):
@@ -77,8 +77,10 @@
         """Results stand once, whatever becomes of the answers."""
         progress = self.ledger.progress(JOB)
         self.table.faults.extend(faults)
-        progress = self.ledger.commit(JOB, progress, Step([end(1)]))
-        self.ledger.commit(JOB, progress, Step([end(0), end(2)], {'1': 1}))
+        progress = self.ledger.commit(JOB, progress, JobChanges([end(1)]))
+        self.ledger.commit(
+            JOB, progress, JobChanges([end(0), end(2)], {'1': 1})
+        )
         self.assertEqual(['i1', 'i0', 'i2'], self.listed())
 
     def test_store_down(self):
@@ -86,25 +88,25 @@
         progress = self.ledger.progress(JOB)
         self.table.faults.append(FaultKind.down)
         with self.assertRaises(StoreUnavailable):
-            self.ledger.commit(JOB, progress, Step([end(1)]))
-        self.ledger.commit(JOB, progress, Step([end(1)]))
+            self.ledger.commit(JOB, progress, JobChanges([end(1)]))
+        self.ledger.commit(JOB, progress, JobChanges([end(1)]))
         self.assertEqual(['i1'], self.listed())
 
     def test_old_holder_lists_nothing(self):
         """After a take-over the holder before it is fenced off."""
         old = self.ledger.progress(JOB)
-        self.ledger.take(self.stored, 'two', 'life2')
+        self.ledger.take_over(self.stored, 'two', 'life2')
         with self.assertRaises(HoldLost):
-            self.ledger.commit(JOB, old, Step([end(0)]))
+            self.ledger.commit(JOB, old, JobChanges([end(0)]))
         new = self.ledger.progress(JOB)
-        self.ledger.commit(JOB, new, Step([end(0)]))
+        self.ledger.commit(JOB, new, JobChanges([end(0)]))
         self.assertEqual(['i0'], self.listed())
 
     def test_one_of_two_takes(self):
         """Of two entries that take a job at once one gets it."""
-        self.ledger.take(self.stored, 'two', 'life2')
+        self.ledger.take_over(self.stored, 'two', 'life2')
         with self.assertRaises(HoldLost):
-            self.ledger.take(self.stored, 'three', 'life3')
+            self.ledger.take_over(self.stored, 'three', 'life3')
 
     def test_large_payload(self):
         """Items over a transaction's size are kept in an object."""
@@ -119,7 +121,7 @@
     def test_removed(self):
         """Nothing of a removed job is left; the others stay."""
         progress = self.ledger.progress(JOB)
-        step = Step([end(0, LONG)], {}, [Partial(1, '2', 'x')])
+        step = JobChanges([end(0, LONG)], {}, [Checkpoint(1, '2', 'x')])
         self.ledger.commit(JOB, progress, step)
         self.ledger.accept(self.head._replace(id='other'), self.items)
         self.ledger.remove(self.ledger.head(JOB))
@@ -145,14 +147,16 @@
     def test_partials(self):
         """Unfinished output outlives its holder and goes when it is done."""
         progress = self.ledger.progress(JOB)
-        parts = [Partial(0, '7', 'a'), Partial(2, '3', 'b')]
-        progress = self.ledger.commit(JOB, progress, Step(partials=parts))
-        self.ledger.take(self.stored, 'two', 'life2')
-        self.assertEqual(parts, self.ledger.partials(JOB))
+        parts = [Checkpoint(0, '7', 'a'), Checkpoint(2, '3', 'b')]
+        progress = self.ledger.commit(
+            JOB, progress, JobChanges(checkpoints=parts)
+        )
+        self.ledger.take_over(self.stored, 'two', 'life2')
+        self.assertEqual(parts, self.ledger.checkpoints(JOB))
         progress = self.ledger.progress(JOB)
         done = end(0)._replace(checkpointed=True)
-        self.ledger.commit(JOB, progress, Step([done]))
-        self.assertEqual(parts[1:], self.ledger.partials(JOB))
+        self.ledger.commit(JOB, progress, JobChanges([done]))
+        self.assertEqual(parts[1:], self.ledger.checkpoints(JOB))
 
     @params((), (FaultKind.lose_answer,), (FaultKind.cut,))
     def test_end(self, *faults):
@@ -165,7 +169,7 @@
         """Outputs over a row's size come back whole from any position."""
         progress = self.ledger.progress(JOB)
         ends = [end(0, LONG), end(1, ''), end(2, LONG[:-1])]
-        self.ledger.commit(JOB, progress, Step(ends))
+        self.ledger.commit(JOB, progress, JobChanges(ends))
         for after in range(4):
             found = self.ledger.results(JOB, after)
             wanted = [each.result for each in ends[after:]]
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -10,7 +10,7 @@
 from cactusridge.jobs.model import (
     head_value,
 )
-from cactusridge.jobs.step import Step
+from cactusridge.jobs.step import JobChanges
 from cactusridge.store.table import Priority, Row
 from standins.faults import FaultKind
 from tests.emitted import emitted
@@ -41,7 +41,7 @@
         self.check_refused(lambda: self.ledger.end(JOB))
         self.check_lost(lambda: self.ledger.release(self.head))
         self.check_lost(lambda: self.ledger.close(self.head))
-        self.check_lost(lambda: self.ledger.take(self.head, 'two', 'l'))
+        self.check_lost(lambda: self.ledger.take_over(self.head, 'two', 'l'))
         with self.assertRaises(OutcomeUnknown):
             self.ledger.accept(HEAD, self.items)
         self.assertEqual(OTHER, self.ledger.head(OTHER).id)
@@ -96,8 +96,8 @@
         """Nobody takes the job, lists on or starts it anew."""
         self.table.spoil(progress_key(JOB), value)
         self.check_refused(lambda: self.ledger.progress(JOB))
-        self.check_refused(lambda: self.ledger.take(self.head, 'two', 'l'))
-        step = Step([end(1)])
+        self.check_refused(lambda: self.ledger.take_over(self.head, 'two', 'l'))
+        step = JobChanges([end(1)])
         self.check_lost(lambda: self.ledger.commit(JOB, self.progress, step))
         self.assertEqual([], self.ledger.progress(OTHER).listed)
 
@@ -128,7 +128,7 @@
 
         self.table.transact = spoiling
         with self.assertRaises(OutcomeUnknown):
-            self.ledger.commit(JOB, self.progress, Step([end(1)]))
+            self.ledger.commit(JOB, self.progress, JobChanges([end(1)]))
 
 
 class TestSpoiltItems(SpoiltJobCase):
--- a/tests/test_spoilt_results.py
+++ b/tests/test_spoilt_results.py
@@ -4,9 +4,9 @@
 
 from cactusridge.jobs.keys import payload_prefix
 from cactusridge.jobs.model import (
-    Partial,
+    Checkpoint,
 )
-from cactusridge.jobs.step import Step
+from cactusridge.jobs.step import JobChanges
 from cactusridge.store.table import Priority
 from tests.spoilt_job_case import JOB, LONG, PARTIAL, RESULT, SpoiltJobCase, end
 from tests.spoilt_table import spoilings
@@ -19,7 +19,7 @@
         """List all items, the middle one with a long output."""
         super().setUp()
         ends = [end(0), end(1, LONG), end(2)]
-        self.ledger.commit(JOB, self.progress, Step(ends))
+        self.ledger.commit(JOB, self.progress, JobChanges(ends))
         self.keys = [
             row.key for row in self.table.scan('results/', Priority.report)
         ]
@@ -76,19 +76,19 @@
     @params('note', '5', '0002.5', '00002', '000/2')
     def test_foreign_row(self, name):
         """A row whose place is none of an item's is left out."""
-        parts = [Partial(2, '3', 'b')]
-        self.ledger.commit(JOB, self.progress, Step(partials=parts))
+        parts = [Checkpoint(2, '3', 'b')]
+        self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         key = self.table.scan('partial/', Priority.report)[0].key
         prefix = key.rpartition('.')[0]
         self.table.spoil(f'{prefix}.{name}', PARTIAL)
-        self.assertEqual(parts, self.ledger.partials(JOB))
+        self.assertEqual(parts, self.ledger.checkpoints(JOB))
 
     @params(*spoilings(PARTIAL), ('last_id', {**PARTIAL, 'last_id': 'x'}))
     def test_left_out(self, name, value):
         """One that cannot be read costs itself alone."""
-        parts = [Partial(0, '7', 'a'), Partial(2, '3', 'b')]
-        self.ledger.commit(JOB, self.progress, Step(partials=parts))
+        parts = [Checkpoint(0, '7', 'a'), Checkpoint(2, '3', 'b')]
+        self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         keys = [row.key for row in self.table.scan('partial/', Priority.report)]
         self.table.spoil(keys[0], value)
         self.table.spoil(f'{keys[0]}x', PARTIAL)
-        self.assertEqual(parts[1:], self.ledger.partials(JOB))
+        self.assertEqual(parts[1:], self.ledger.checkpoints(JOB))
--- a/tests/test_stop_races.py
+++ b/tests/test_stop_races.py
@@ -149,7 +149,7 @@
     def test_take_over_lost(self):
         """Who loses the race for a job says so and reads it anew."""
         manager, ledger = self.manager_over_mocks()
-        ledger.take.side_effect = HoldLost('another entry was first')
+        ledger.take_over.side_effect = HoldLost('another entry was first')
         with mock.patch('cactusridge.logs.emit') as emit:
             manager.look()
             gevent.sleep(0)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -5,13 +5,13 @@
 
 from nose2.tools import params
 
-from cactusridge.jobs.pace import Pace
+from cactusridge.jobs.pace import RunTimeEstimator
 from cactusridge.jobs.urgency import (
     DueFirst,
     ItemTimes,
     OnTimeFirst,
-    Standing,
     Urgency,
+    UrgencyClass,
 )
 
 RUN_S = 5.4
@@ -65,7 +65,7 @@
             self._waiting.extend([now] * JOB_ITEMS)
 
     def _start(self, now: float) -> None:
-        def rank(submitted_at: float) -> tuple[Standing, float]:
+        def rank(submitted_at: float) -> tuple[UrgencyClass, float]:
             age_s = now - submitted_at
             times = ItemTimes(DUE_S - age_s, GIVE_UP_S - age_s, RUN_S)
             return self._urgency.rank(times)
@@ -85,12 +85,12 @@
     """Who starts first."""
 
     @params(
-        (ItemTimes(18, 60, 5), Standing.on_time),
-        (ItemTimes(4, 46, 5), Standing.late),
-        (ItemTimes(4, 46, 3), Standing.on_time),
-        (ItemTimes(-30, 7, 1), Standing.expiring),
-        (ItemTimes(-30, 9, 5), Standing.expiring),
-        (ItemTimes(-30, 12, 5), Standing.late),
+        (ItemTimes(18, 60, 5), UrgencyClass.on_time),
+        (ItemTimes(4, 46, 5), UrgencyClass.late),
+        (ItemTimes(4, 46, 3), UrgencyClass.on_time),
+        (ItemTimes(-30, 7, 1), UrgencyClass.expiring),
+        (ItemTimes(-30, 9, 5), UrgencyClass.expiring),
+        (ItemTimes(-30, 12, 5), UrgencyClass.late),
     )
     def test_standing(self, times, wanted):
         """By what can still be met, and by what must be."""
@@ -129,11 +129,11 @@
 
     def test_learns(self):
         """Nothing before the first item, then its time, less what is done."""
-        pace = Pace()
-        self.assertEqual(0, pace.left_s(0))
-        pace.ran(100, 2.0)
-        pace.ran(100, 2.0)
-        pace.completed(200)
-        self.assertAlmostEqual(4.0, pace.left_s(0))
-        self.assertAlmostEqual(1.0, pace.left_s(150))
-        self.assertEqual(0, pace.left_s(300))
+        estimator = RunTimeEstimator()
+        self.assertEqual(0, estimator.remaining_s(0))
+        estimator.record_run(100, 2.0)
+        estimator.record_run(100, 2.0)
+        estimator.record_completion(200)
+        self.assertAlmostEqual(4.0, estimator.remaining_s(0))
+        self.assertAlmostEqual(1.0, estimator.remaining_s(150))
+        self.assertEqual(0, estimator.remaining_s(300))
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -59,7 +59,7 @@
             catalog_version=ACCEPTED_UNDER,
         )
 
-    def note_end(self, task: ItemTask, state: ItemState) -> None:
+    def record_end(self, task: ItemTask, state: ItemState) -> None:
         """Note how the item ended."""
         self.ends.append(state)
 
