--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -70,7 +70,10 @@
         zone: str,
         tenure: Tenure,
     ) -> None:
-        """Join the members as ``name``; peers connect to ``address``."""
+        """Prepare the membership of the entry ``name``, not yet stored.
+
+        Peers connect to ``address``.
+        """
         self.me = Member(name, secrets.token_hex(8), *address, zone)
         self.renewed_at: float | None = None
         self._tenure = tenure
@@ -96,7 +99,7 @@
     def step(self) -> None:
         """Renew the lease and read the members once.
 
-        An unreachable store is logged and not raised.
+        Failures of the store are logged and not raised.
         """
         if self._has_left:
             return
--- a/tests/spoilt_job_case.py
+++ b/tests/spoilt_job_case.py
@@ -1,4 +1,4 @@
-"""Two jobs whose rows another writer spoils."""
+"""Base of tests in which another writer corrupts the rows of jobs."""
 
 import unittest
 
@@ -34,17 +34,17 @@
 
 
 def item(number: int) -> JobItem:
-    """Return an item."""
+    """Return a job item with the given number."""
     return JobItem(f'i{number}', f'/p/{number}', {'X-M': 'm'}, 'YQ==', 3)
 
 
 def end(index: int, output: str = 'out') -> FinishedItem:
-    """Return an item that is done."""
+    """Return a finished item with the given index and output."""
     return FinishedItem(index, Result(f'i{index}', ItemState.completed, output))
 
 
 def spoilt_texts():
-    """Yield payloads that are no list of items."""
+    """Yield payload texts that are not a list of valid items."""
     yield from ('', '[', '{}', '5', '[5]', '[[]]', '[["a"]]', 'null')
     yield '[["i0","/p",{},"YQ",3]]'
     for field, odd in enumerate(('5', '5', '{"a":5}', '"***"', '"x"')):
@@ -54,10 +54,10 @@
 
 
 class SpoiltJobCase(unittest.TestCase):
-    """Two jobs of three items over a table that others write too."""
+    """Two jobs of three items in a table with another writer."""
 
     def setUp(self):
-        """Accept both."""
+        """Accept both jobs."""
         self.table = SpoiltTable()
         self.objects = MemoryObjects()
         self.clock = ManualClock()
@@ -68,7 +68,7 @@
         self.progress = self.ledger.progress(JOB)
 
     def check_refused(self, act):
-        """Check that something fails as unreadable and writes nothing."""
+        """Check that ``act`` raises UnreadableRecord and writes nothing."""
         before = self.table.store.version
         with self.assertRaises(UnreadableRecord) as caught:
             act()
@@ -78,7 +78,7 @@
         self.assertEqual(before, self.table.store.version)
 
     def check_lost(self, act):
-        """Check that a conditional write fails and writes nothing."""
+        """Check that ``act`` raises HoldLost and writes nothing."""
         before = self.table.store.version
         with self.assertRaises(HoldLost):
             act()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""When a job is refused without asking the store."""
+"""Tests of the rejection of jobs without a call to the store."""
 
 import unittest
 
@@ -15,43 +15,47 @@
 
 
 class TestIntake(unittest.TestCase):
-    """What a caller is told while this entry counts the store as lost."""
+    """Responses to callers while this entry cannot reach the store."""
 
     def setUp(self):
-        """Start with the store lost and no word of a peer."""
+        """Start with an unreachable store and no report of a peer."""
         self.lost = True
         self.clock = ManualClock()
         self.intake = Intake(lambda: self.lost, self.clock)
 
     def test_open_while_the_store_answers(self):
-        """With the store there is nothing to refuse."""
+        """No job is rejected while the store responds."""
         self.lost = False
         self.intake.check('job')
 
     @params(
-        # Whether the store is lost here, whether a peer has it, how long
-        # ago it said so, and whether callers had better go elsewhere.
+        # Whether the store is unreachable here, whether a peer reports that
+        # it reaches the store, the age of the report in seconds, and whether
+        # new callers should be sent to another entry.
         (True, True, 0, True),
         (True, True, PEER_REPORT_VALID_S * 2, False),
         (True, False, 0, False),
         (False, True, 0, False),
     )
     def test_better_elsewhere(self, lost, has_store, age_s, elsewhere):
-        """Only while a peer has the store; nobody leaves for an outage."""
+        """Callers are sent elsewhere only while a peer reaches the store.
+
+        During an outage for all entries they stay.
+        """
         self.lost = lost
         self.intake.heard(has_store)
         self.clock.advance(age_s)
         self.assertEqual(elsewhere, self.intake.better_elsewhere())
 
     @params(
-        # Peers that have the store, how long ago they said so, and when
-        # the caller is to come back.
+        # Whether a peer reports that it reaches the store, the age of the
+        # report in seconds, and the expected Retry-After in seconds.
         (True, 0, PEER_RETRY_S),
         (True, PEER_REPORT_VALID_S * 2, OUTAGE_RETRY_S),
         (False, 0, OUTAGE_RETRY_S),
     )
     def test_refused_at_once(self, has_store, age_s, retry_s):
-        """Soon if another entry can take the job, else later."""
+        """Retry-After is short only if another entry can accept the job."""
         self.intake.heard(has_store)
         self.clock.advance(age_s)
         with self.assertRaises(StoreUnavailable) as caught:
--- a/tests/test_job_ledger.py
+++ b/tests/test_job_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of batch jobs over a store with faults."""
+"""Tests of the ledger of batch jobs on a store with faults."""
 
 import unittest
 
@@ -27,12 +27,12 @@
 
 
 def item(number: int) -> JobItem:
-    """Return an item."""
+    """Return a job item with the given number."""
     return JobItem(f'i{number}', f'/p/{number}', {'X-M': 'm'}, 'YQ==', 3)
 
 
 def end(index: int, output: str = 'out') -> FinishedItem:
-    """Return an item that is done."""
+    """Return a finished item with the given index and output."""
     return FinishedItem(index, Result(f'i{index}', ItemState.completed, output))
 
 
@@ -54,16 +54,16 @@
 
 
 class TestJobLedger(LedgerCase):
-    """Accepted once, listed once, by one holder at a time."""
+    """Jobs are accepted once and results listed once, by one holder."""
 
     def test_resend_finds_the_first(self):
-        """A job that is sent again, to another entry, is the same job."""
+        """A job that is submitted again to another entry is the same job."""
         again = self.head._replace(holder='two', life='life2')
         self.assertEqual('one', self.ledger.accept(again, self.items).holder)
         self.assertEqual(self.items, self.ledger.items(JOB))
 
     def test_unknown_job(self):
-        """What was never accepted is not found."""
+        """The head of a job that was never accepted raises NotFound."""
         with self.assertRaises(NotFound):
             self.ledger.head('other')
 
@@ -74,7 +74,7 @@
         (FaultKind.lose_answer, FaultKind.down),
     )
     def test_commit_with_lost_answers(self, *faults):
-        """Results stand once, whatever becomes of the answers."""
+        """Each result is listed once even if responses are lost."""
         progress = self.ledger.progress(JOB)
         self.table.faults.extend(faults)
         progress = self.ledger.commit(JOB, progress, JobChanges([end(1)]))
@@ -84,7 +84,7 @@
         self.assertEqual(['i1', 'i0', 'i2'], self.listed())
 
     def test_store_down(self):
-        """A commit that was refused can be made later."""
+        """A commit that the store has refused can be retried."""
         progress = self.ledger.progress(JOB)
         self.table.faults.append(FaultKind.down)
         with self.assertRaises(StoreUnavailable):
@@ -93,7 +93,7 @@
         self.assertEqual(['i1'], self.listed())
 
     def test_old_holder_lists_nothing(self):
-        """After a take-over the holder before it is fenced off."""
+        """After a takeover the previous holder cannot commit results."""
         old = self.ledger.progress(JOB)
         self.ledger.take_over(self.stored, 'two', 'life2')
         with self.assertRaises(HoldLost):
@@ -103,13 +103,13 @@
         self.assertEqual(['i0'], self.listed())
 
     def test_one_of_two_takes(self):
-        """Of two entries that take a job at once one gets it."""
+        """If two entries take over a job at once, one of them succeeds."""
         self.ledger.take_over(self.stored, 'two', 'life2')
         with self.assertRaises(HoldLost):
             self.ledger.take_over(self.stored, 'three', 'life3')
 
     def test_large_payload(self):
-        """Items over a transaction's size are kept in an object."""
+        """Items larger than a transaction are stored in an object."""
         large = [item(0)._replace(body='YQ==' * 200_000)]
         head = self.head._replace(id='job2', items=1)
         self.ledger.accept(head, large)
@@ -119,7 +119,7 @@
         self.assertEqual({}, self.objects.stored)
 
     def test_removed(self):
-        """Nothing of a removed job is left; the others stay."""
+        """The removal of a job deletes all its rows and no others."""
         progress = self.ledger.progress(JOB)
         step = JobChanges([end(0, LONG)], {}, [Checkpoint(1, '2', 'x')])
         self.ledger.commit(JOB, progress, step)
@@ -130,14 +130,14 @@
         self.assertEqual(self.items, self.ledger.items('other'))
 
     def test_stored_but_unreadable(self):
-        """A stored job whose head cannot be read was not refused."""
+        """The outcome is unknown if the head of a stored job is unreadable."""
         self.table.faults.append(FaultKind.lose_answer)
         self.table.fail_reads = 1
         with self.assertRaises(OutcomeUnknown):
             self.ledger.accept(self.head._replace(id='job3'), self.items)
 
     def test_accepted_in_one_call(self):
-        """The answer to the insertion is enough; nothing is read."""
+        """A job is accepted without a read after the insertion."""
         self.table.fail_reads = 1
         head = self.head._replace(id='job4')
         accepted = self.ledger.accept(head, self.items)
@@ -145,7 +145,7 @@
         self.assertEqual(self.ledger.head('job4'), accepted)
 
     def test_partials(self):
-        """Unfinished output outlives its holder and goes when it is done."""
+        """A checkpoint survives a takeover and is removed with the result."""
         progress = self.ledger.progress(JOB)
         parts = [Checkpoint(0, '7', 'a'), Checkpoint(2, '3', 'b')]
         progress = self.ledger.commit(
@@ -160,13 +160,13 @@
 
     @params((), (FaultKind.lose_answer,), (FaultKind.cut,))
     def test_end(self, *faults):
-        """An end is final, repeated or not."""
+        """A job can be ended again without an effect."""
         self.table.faults.extend(faults)
         self.assertEqual(JobState.ended, self.ledger.end(JOB).state)
         self.assertEqual(JobState.ended, self.ledger.end(JOB).state)
 
     def test_long_outputs_by_position(self):
-        """Outputs over a row's size come back whole from any position."""
+        """Outputs longer than a row are returned whole from any position."""
         progress = self.ledger.progress(JOB)
         ends = [end(0, LONG), end(1, ''), end(2, LONG[:-1])]
         self.ledger.commit(JOB, progress, JobChanges(ends))
--- a/tests/test_machine_links.py
+++ b/tests/test_machine_links.py
@@ -1,4 +1,4 @@
-"""Ways that are cut or fall silent, and holders lost one after another."""
+"""Tests of failing connections and of holders that are lost in turn."""
 
 import base64
 import time
@@ -12,74 +12,82 @@
 from tests.machine_case import MachineCase
 from tests.test_machine_failures import sent
 
-# Until an entry counts the store as lost: three calls that fail, of at
-# most a second each, and what lies between them.
+# Time in seconds until an entry counts the store as unreachable: three failed
+# calls of at most a second each, and the pauses between them.
 LOST_S = 6
-# Far under the second that a call of the store may take.
+# A rejection without a call to the store takes less than this, in seconds; a
+# call to the store may take a second.
 AT_ONCE_S = 0.5
+# Number of jobs that have to be rejected in a row, and the pause between them
+# in seconds.
 IN_A_ROW = 6
 BETWEEN_S = 0.2
-# The list is read again within a second of the store's return, and a peer
-# says within half a second that it had the store.
+# Time in seconds after which a returned entry has read the replica list, which
+# takes at most a second, and has received a peer's report that the peer reached
+# the store, which takes at most half a second.
 LEFT_S = 1.2
-# Requests of which a replica in choice gets some, with two to choose from.
+# Number of requests of which each of two available replicas receives some.
 MANY = 16
 NEW_ROUTE = {'name': 'new', 'path_prefix': '/new/', 'kind': 'idempotent'}
 
 
 class TestTurnedAway(MachineCase):
-    """One entry loses the store; the other has it."""
+    """One entry cannot reach the store while the other can."""
 
     def setUp(self):
-        """Cut the first entry's way to the store."""
+        """Cut the connection of the first entry to the store."""
         super().setUp()
         self.assertEqual(202, self.site.submit('two', 'j0', ['2']))
         self.wait_done('one', 'j0', 1)
         self.link = self.site.store_links['one']
         self.link.refusing = True
         self.link.cut()
-        wait_for('it is told at once', self.refused_at_once, LOST_S)
+        wait_for('jobs are rejected at once', self.refused_at_once, LOST_S)
 
     def refused_at_once(self):
-        """Tell whether jobs are refused without asking the store.
+        """Return whether jobs are rejected without a call to the store.
 
-        Several in a row, since a store that counts as lost is asked
-        again in between.
+        Several jobs have to be rejected in a row, since the entry retries
+        an unreachable store in between.
         """
         return all(self.refused_soon() for _ in range(IN_A_ROW))
 
     def refused_soon(self):
-        """Tell whether one job is refused without asking the store."""
+        """Return whether one job is rejected without a call to the store."""
         gevent.sleep(BETWEEN_S)
         began = time.monotonic()
         status = self.site.submit('one', f'j{time.monotonic_ns()}', ['2'])
         return status == 503 and time.monotonic() - began < AT_ONCE_S
 
     def test_new_callers_go_elsewhere(self):
-        """It is not ready until it has the store again; the peer is."""
-        wait_for('it is not ready', lambda: not self.site.is_ready('one'), 2)
+        """The entry is not ready until it reaches the store; its peer is."""
+        wait_for(
+            'the entry is not ready', lambda: not self.site.is_ready('one'), 2
+        )
         self.assertTrue(self.site.is_ready('two'))
         self.link.refusing = False
-        wait_for('it is ready', lambda: self.site.is_ready('one'), LOST_S)
+        wait_for(
+            'the entry is ready', lambda: self.site.is_ready('one'), LOST_S
+        )
 
     def test_online_goes_on(self):
-        """Requests are served by what the entry knew."""
+        """Online requests are served from the state known before the cut."""
         for number in range(5):
             call = ('one', 'POST', '/on/', b'1', sent(f'r{number}'))
             self.assertEqual(200, self.site.call(*call)[0])
 
     def test_no_false_word_of_jobs(self):
-        """What cannot be read is unavailable, not unknown."""
+        """A job that cannot be read is unavailable and not reported unknown."""
         found = self.site.call('one', 'GET', '/api/lots/j0')
         self.assertEqual(503, found[0])
 
     def test_configuration_of_peers(self):
-        """A new configuration comes from the entry that has it."""
+        """A new configuration reaches the entry through its peer."""
         self.site.configure([NEW_ROUTE])
         wait_for('the new route', self.new_route_is_served, 2)
 
     def test_back(self):
-        """Once the store is back jobs are accepted and done."""
+        """Jobs are accepted and completed once the store is reachable."""
         self.link.refusing = False
         wait_for(
             'a job is taken',
@@ -89,15 +97,18 @@
         self.assertEqual(['j9-0'], self.wait_done('two', 'j9', 1))
 
     def test_left_meanwhile(self):
-        """A replica that left in the cut gets nothing after it.
+        """A replica removed during the cut receives no requests afterwards.
 
-        The other entry has the store all along: that an entry is not
-        there says that its replica has left, not that it has lapsed.
+        The other entry reaches the store all the time. A missing row of a
+        replica therefore means that the replica has left, and not that its
+        row has expired.
         """
         gone = self.site.replicas[0]
         self.site.store.remove(('servers', '', gone.id))
         self.link.refusing = False
-        wait_for('it is back', lambda: self.site.is_ready('one'), LOST_S)
+        wait_for(
+            'the entry is ready', lambda: self.site.is_ready('one'), LOST_S
+        )
         gevent.sleep(LEFT_S)
         names = [f'after{number}' for number in range(MANY)]
         for name in names:
@@ -106,16 +117,16 @@
         self.assertEqual([], [name for name in names if gone.runs[name]])
 
     def new_route_is_served(self):
-        """Tell whether the first entry knows the new route."""
+        """Return whether the first entry serves the new route."""
         call = ('one', 'POST', '/new/', b'1', sent('n'))
         return self.site.call(*call)[0] == 200
 
 
 class TestEndedElsewhere(MachineCase):
-    """A job ends while the store turns its holder away."""
+    """A job is cancelled while its holder cannot reach the store."""
 
     def test_peers_word_stops_it(self):
-        """Another entry's word ends all items, and none starts again."""
+        """A peer's announcement stops all items, and none starts again."""
         self.site.submit('one', 'j1', ['400 0.05'] * 4)
         wait_for('the items run', lambda: self.running() == 4)
         link = self.site.store_links['one']
@@ -129,19 +140,19 @@
         self.assertEqual(started, self.started())
 
     def running(self):
-        """Return how many requests replicas work on."""
+        """Return the number of requests in flight at all replicas."""
         return sum(each.running for each in self.site.replicas)
 
     def started(self):
-        """Return how many requests replicas have had."""
+        """Return the number of requests that all replicas have received."""
         return sum(sum(each.runs.values()) for each in self.site.replicas)
 
 
 class TestSilence(MachineCase):
-    """Open connections fall silent while new ones work."""
+    """Open connections transmit nothing while new connections work."""
 
     def test_store(self):
-        """Jobs are accepted, done and read over new connections."""
+        """Jobs are accepted, completed and read over new connections."""
         for link in self.site.store_links.values():
             link.silence()
         wait_for(
@@ -152,7 +163,7 @@
         self.assertEqual(3, len(set(self.wait_done('two', 'j1', 3))))
 
     def silence_replicas(self):
-        """Let connections to both replicas be kept, then fall silent."""
+        """Open connections to both replicas, then stop their transmission."""
         calls = [
             gevent.spawn(
                 self.site.call,
@@ -170,34 +181,34 @@
 
     @params('/again/', '/safe/')
     def test_kept_connections(self, path):
-        """What may be repeated goes out again, on a new connection."""
+        """A repeatable request is sent again on a new connection."""
         self.silence_replicas()
         call = ('one', 'POST', path, b'1', sent('r'))
         self.assertEqual(200, self.site.call(*call)[0])
 
     def test_running_stream(self):
-        """A stream that may be resumed goes on over a new connection."""
+        """A resumable stream continues over a new connection."""
         call = ('one', 'POST', '/again/', b'10 0.1', sent('r'))
         running = gevent.spawn(self.site.call, *call)
-        wait_for('it runs', lambda: self.runs('r'))
+        wait_for('the request runs', lambda: self.runs('r'))
         self.silence_replicas()
         status, _, body = running.get()
         self.assertEqual((200, 10), (status, body.count(b'data:')))
 
 
 class TestHolders(MachineCase):
-    """Holders that are lost one after the other."""
+    """Holders of a job that are killed one after the other."""
 
     entries = ('one', 'two', 'three')
 
     def test_two_lost(self):
-        """The third goes on with what the first two had stored."""
+        """The third holder resumes from the checkpoints of the first two."""
         self.site.submit('one', 'j1', ['100 0.05'] * 3)
-        wait_for('output is stored', lambda: self.partials(), 5)
+        wait_for('a checkpoint is stored', lambda: self.partials(), 5)
         self.site.entries['one'].kill()
         before = self.partials()
         wait_for(
-            'another goes on',
+            'another entry resumes the job',
             lambda: self.partials() != before,
             LEASE_S * 3,
         )
@@ -210,7 +221,7 @@
         self.assertEqual({'\n'.join(f'e{n}' for n in range(1, 101))}, outputs)
 
     def partials(self):
-        """Return the stored unfinished outputs."""
+        """Return the rows of all checkpoints."""
         return {
             place: held
             for place, held in self.site.store.rows.items()
@@ -218,7 +229,7 @@
         }
 
     def holder(self):
-        """Return who holds the job, by its row."""
+        """Return the name of the job's holder from its row."""
         held = next(
             held
             for place, held in self.site.store.rows.items()
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Which entries are taken to live while the store is away."""
+"""Tests of the membership list while the store is unreachable."""
 
 import unittest
 from unittest import mock
@@ -12,10 +12,10 @@
 
 
 class TestSession(unittest.TestCase):
-    """Two entries over one table."""
+    """Two entries that share one table."""
 
     def setUp(self):
-        """Let both read each other."""
+        """Let both entries read each other's row."""
         self.table = MemoryTable()
         self.clock = ManualClock()
         self.one = self.session('one')
@@ -24,30 +24,33 @@
             each.step()
 
     def session(self, name):
-        """Return the session of an entry."""
+        """Return the session of the entry ``name``."""
         address = ('127.0.0.1', 1)
         tenure = Tenure(StoreClock(self.clock))
         return Session(self.table, self.clock, name, address, 'z', tenure)
 
     def names(self):
-        """Return whom the first takes to live."""
+        """Return the names of the live members known to the first entry."""
         return [member.name for member in self.one.members()]
 
     def test_unread_rows_end_nobody(self):
-        """Who cannot read the rows goes on with those it has read."""
+        """An entry that cannot read the rows keeps the members it knows."""
         self.clock.advance(LEASE_S * 2)
         self.table.fail_reads = 1
         self.one.step()
         self.assertEqual(['one', 'two'], self.names())
 
     def test_silent_entry_ends(self):
-        """Who does not renew its row, which can be read, is gone."""
+        """An entry whose readable row is not renewed stops being a member."""
         self.clock.advance(LEASE_S * 2)
         self.one.step()
         self.assertEqual(['one'], self.names())
 
     def test_woken(self):
-        """An entry that stood still is in touch only once it has read."""
+        """A resumed entry is in touch only after its next read.
+
+        The listener of the read already sees it in touch.
+        """
         self.one.step()
         self.assertTrue(self.one.in_touch())
         self.clock.advance(LEASE_S * 2)
@@ -59,14 +62,14 @@
         self.assertTrue(self.one.in_touch())
 
     def test_rows_that_cannot_be_read(self):
-        """Who renews and cannot read knows nothing of the others."""
+        """An entry that renews its row but cannot read is not in touch."""
         self.clock.advance(LEASE_S)
         self.table.fail_reads = 1
         self.one.step()
         self.assertFalse(self.one.in_touch())
 
     def test_since_the_row_is_back(self):
-        """An entry that was away counts from the renewal that succeeds."""
+        """After an outage the membership starts at the first renewal stored."""
         self.clock.advance(LEASE_S * 2)
         with mock.patch.object(
             self.table,
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -1,4 +1,4 @@
-"""Rows of jobs that cannot be read are never taken for absent."""
+"""Tests that unreadable rows of jobs are never treated as absent."""
 
 from nose2.tools import params
 
@@ -29,13 +29,13 @@
 
 
 class TestSpoiltHead(SpoiltJobCase):
-    """A job's head."""
+    """Unreadable head of a job."""
 
     optional = ('catalog_version', 'organisation')
 
     @params(*spoilings(head_value(HEAD), optional))
     def test_ledger(self, name, value):
-        """No caller hears that the job is gone; nobody writes over it."""
+        """The job is not reported as unknown or overwritten."""
         self.table.spoil(head_key(JOB), value)
         self.check_refused(lambda: self.ledger.head(JOB))
         self.check_refused(lambda: self.ledger.end(JOB))
@@ -48,7 +48,7 @@
 
     @params(*spoilings(head_value(HEAD), optional))
     def test_heads(self, name, value):
-        """It is told once; the other heads are known as before."""
+        """An unreadable head is logged once, and the other heads stay known."""
         heads = JobHeads()
         self.table.spoil(head_key(JOB), value)
         rows = self.table.scan('jobs/', Priority.report)
@@ -62,7 +62,7 @@
         self.assertIsNone(heads.get(JOB))
 
     def test_spoilt_later(self):
-        """An older head that is heard late changes nothing."""
+        """A head older than the unreadable version is ignored."""
         heads = JobHeads()
         heads.note(self.head)
         key = head_key(JOB)
@@ -75,7 +75,7 @@
 
     @params('jobs//job1', 'jobs/s0/x/job1', 'jobs/s99/job1')
     def test_foreign_key(self, key):
-        """A row of the table that holds no head takes none away."""
+        """A row with a foreign key neither replaces nor removes a head."""
         heads = JobHeads()
         heads.note(self.head)
         with emitted() as found:
@@ -86,14 +86,14 @@
 
 
 class TestSpoiltProgress(SpoiltJobCase):
-    """What is committed of a job."""
+    """Unreadable progress of a job."""
 
     @params(
         *spoilings(PROGRESS),
         *((str(each), each) for each in LISTED_ODDLY),
     )
     def test_progress(self, name, value):
-        """Nobody takes the job, lists on or starts it anew."""
+        """A job with unreadable progress is not taken over or committed to."""
         self.table.spoil(progress_key(JOB), value)
         self.check_refused(lambda: self.ledger.progress(JOB))
         self.check_refused(lambda: self.ledger.take_over(self.head, 'two', 'l'))
@@ -102,21 +102,21 @@
         self.assertEqual([], self.ledger.progress(OTHER).listed)
 
     def restored(self, items):
-        """Return the job as its next holder has it."""
+        """Return the job as restored by its next holder."""
         return restored_job(self.head, items, self.ledger, self.clock)
 
     def test_items_that_the_job_does_not_have(self):
-        """A job is not run on by a progress that is not its own."""
+        """A job is not restored if its progress lists an unknown item."""
         value = {**PROGRESS, 'listed': [0, 3]}
         self.table.spoil(progress_key(JOB), value)
         self.check_refused(lambda: self.restored(self.items))
 
     def test_items_are_missing(self):
-        """Nor by fewer items than it has."""
+        """A job is not restored if some of its items are missing."""
         self.check_refused(lambda: self.restored(self.items[:2]))
 
     def test_spoilt_after_a_lost_answer(self):
-        """Whether a write took effect cannot be told any more."""
+        """The outcome of a write is unknown if its row became unreadable."""
         self.table.faults.append(FaultKind.lose_answer)
         transact = self.table.transact
 
@@ -132,7 +132,7 @@
 
 
 class TestSpoiltItems(SpoiltJobCase):
-    """The items of a job, in rows or in an object."""
+    """Unreadable items of a job, in rows or in an object."""
 
     @params(
         ('bytes', None),
@@ -143,25 +143,25 @@
         *((text, {'text': text}) for text in spoilt_texts()),
     )
     def test_rows(self, name, value):
-        """No caller hears that the items are gone."""
+        """Unreadable items are not reported as missing."""
         self.table.spoil(f'{payload_prefix(JOB)}0000', value)
         self.check_refused(lambda: self.ledger.items(JOB))
         self.assertEqual(self.items, self.ledger.items(OTHER))
 
     @params('0001', '0002')
     def test_more_rows(self, number):
-        """Nor does a row behind or beside those of the job go in."""
+        """An additional row makes the payload unreadable."""
         self.table.spoil(f'{payload_prefix(JOB)}{number}', {'text': '[]'})
         self.check_refused(lambda: self.ledger.items(JOB))
 
     def test_foreign_row(self):
-        """A row whose place is none of a job's is left out."""
+        """A row whose key is not that of a payload is left out."""
         self.table.spoil(f'{payload_prefix(JOB)}note', {'text': 'x'})
         self.assertEqual(self.items, self.ledger.items(JOB))
 
     @params(None, b'', b'garbled', b'\xff', b'{}', b'[[1]]')
     def test_object(self, raw):
-        """An object that is gone or spoilt is like such a row."""
+        """A missing or corrupt object makes the payload unreadable."""
         large = [item(0)._replace(body='YWFh' * 200_000)]
         head = HEAD._replace(id='job3', items=1)
         self.ledger.accept(head, large)
--- a/tests/test_spoilt_members.py
+++ b/tests/test_spoilt_members.py
@@ -1,4 +1,4 @@
-"""Members' rows that cannot be read, and jobs that cannot be taken."""
+"""Tests of unreadable membership rows and unreadable orphaned jobs."""
 
 import unittest
 from types import SimpleNamespace
@@ -31,10 +31,10 @@
 
 
 class MemberCase(unittest.TestCase):
-    """Entries over a table that others write too."""
+    """Entries that share a table with another writer."""
 
     def setUp(self):
-        """Let three entries read each other."""
+        """Let three entries read each other's rows."""
         self.table = SpoiltTable()
         self.clock = ManualClock()
         self.one = self.session('one')
@@ -44,22 +44,22 @@
             each.step()
 
     def session(self, name):
-        """Return the session of an entry."""
+        """Return the session of the entry ``name``."""
         address = ('127.0.0.1', 1)
         tenure = Tenure(StoreClock(self.clock))
         return Session(self.table, self.clock, name, address, 'z', tenure)
 
     def names(self):
-        """Return whom the first takes to live."""
+        """Return the names of the live members known to the first entry."""
         return [member.name for member in self.one.members()]
 
 
 class TestSpoiltMembers(MemberCase):
-    """A row that cannot be read costs that entry alone."""
+    """An unreadable row affects only the entry that owns it."""
 
     @params(*spoilings(MEMBER), *OUT_OF_RANGE)
     def test_lease(self, name, value):
-        """It ends no lease early and renews none."""
+        """An unreadable row neither ends a lease early nor renews it."""
         life = self.two.me.life
         with emitted() as found:
             for _ in range(3):
@@ -74,12 +74,12 @@
             self.one.step()
         self.assertEqual({'one', 'three'}, set(self.names()))
         self.assertFalse(self.one.lives('two', life))
-        # Two read three versions of it.
+        # Two entries each read three unreadable versions of the row.
         self.assertEqual(6, found.count(events.ROW_UNREADABLE))
 
     @params(*spoilings(MEMBER), *OUT_OF_RANGE)
     def test_first_reading(self, name, value):
-        """Whose row was never read may live for one lease."""
+        """The owner of a row unreadable from the start is live for a lease."""
         self.table.spoil(f'{PREFIX}two', value)
         fresh = self.session('four')
         fresh.step()
@@ -93,7 +93,7 @@
         self.assertNotIn(events.ROW_UNREADABLE, found)
 
     def test_mended(self):
-        """Its next renewal makes it a member as before."""
+        """The next renewal of an unreadable row makes the entry a member."""
         self.table.spoil(f'{PREFIX}two')
         self.one.step()
         self.table.unreadable.clear()
@@ -106,10 +106,10 @@
 
 
 class TestSpoiltOrphans(MemberCase):
-    """Jobs of an entry that is gone, with rows that cannot be read."""
+    """Orphaned jobs with unreadable rows."""
 
     def setUp(self):
-        """Have the first entry look after two jobs without a holder."""
+        """Let the first entry manage two jobs without a holder."""
         super().setUp()
         objects = MemoryObjects()
         self.ledger = JobLedger(self.table, objects, self.clock)
@@ -134,7 +134,7 @@
         )
 
     def look(self):
-        """Renew, hear of all heads, and look for orphans until it is done."""
+        """Renew the lease, load all heads and poll for orphaned jobs once."""
         self.one.step()
         for row in self.table.scan('jobs/', Priority.lease):
             self.heads.put(row)
@@ -143,7 +143,7 @@
 
     @params('progress', 'payload', 'head')
     def test_not_taken(self, table):
-        """Nothing is written over it; the other job is taken at once."""
+        """An unreadable job is not overwritten; the other is taken over."""
         key = {
             'progress': progress_key('job1'),
             'payload': f'{payload_prefix("job1")}0000',
@@ -162,7 +162,7 @@
         self.assertEqual(1, found.count(events.ROW_UNREADABLE))
 
     def test_mended(self):
-        """Once its rows can be read it is taken."""
+        """A job is taken over once its rows are readable again."""
         self.table.spoil(progress_key('job1'))
         mended = self.table.store.row(progress_key('job2'))[1]
         self.clock.advance(2)
--- a/tests/test_spoilt_results.py
+++ b/tests/test_spoilt_results.py
@@ -1,4 +1,4 @@
-"""Results and unfinished output that cannot be read are never made up."""
+"""Tests that unreadable results and checkpoints are never made up."""
 
 from nose2.tools import params
 
@@ -13,10 +13,10 @@
 
 
 class TestSpoiltResults(SpoiltJobCase):
-    """Results by position."""
+    """Unreadable rows of results."""
 
     def setUp(self):
-        """List all items, the middle one with a long output."""
+        """Commit results of all items, the middle one with a long output."""
         super().setUp()
         ends = [end(0), end(1, LONG), end(2)]
         self.ledger.commit(JOB, self.progress, JobChanges(ends))
@@ -25,12 +25,12 @@
         ]
 
     def ids(self, after):
-        """Return the ids of the results from a position on."""
+        """Return the ids of the results from the position ``after`` on."""
         return [result.id for result in self.ledger.results(JOB, after)]
 
     @params(*spoilings(RESULT))
     def test_result(self, name, value):
-        """Those before it are read; it is refused and not skipped."""
+        """An unreadable result ends a page and is not skipped."""
         self.table.spoil(self.keys[1], value)
         self.assertEqual(['i0'], self.ids(0))
         self.check_refused(lambda: self.ids(1))
@@ -38,14 +38,14 @@
 
     @params(*spoilings({'more': 'text'}))
     def test_rest_of_an_output(self, name, value):
-        """An output is read whole or not at all."""
+        """A result with an unreadable continuation row is not returned."""
         self.table.spoil(self.keys[2], value)
         self.assertEqual(['i0'], self.ids(0))
         self.check_refused(lambda: self.ids(1))
 
     @params(0, 1, 2)
     def test_removed_row(self, number):
-        """No result moves up into the place of one that is gone."""
+        """A later result is not returned in the position of a removed one."""
         self.table.store.apply([[self.keys[number], None]])
         wanted = ['i0'] if number else []
         if wanted:
@@ -54,14 +54,14 @@
 
     @params('note', 'note/x', '000000x', '000000/0', '5', '0000001')
     def test_foreign_row(self, name):
-        """A row whose place is none of a result's is left out."""
+        """A row whose key is not that of a result is left out."""
         prefix = self.keys[0].rpartition('.')[0]
         self.table.spoil(f'{prefix}.{name}')
         self.assertEqual(['i0', 'i1', 'i2'], self.ids(0))
         self.assertEqual([], self.ids(3))
 
     def test_removed_with_its_job(self):
-        """An old job is removed with what cannot be read of it."""
+        """The removal of a job includes its unreadable rows."""
         for key in self.keys:
             self.table.spoil(key)
         self.table.spoil(f'{payload_prefix(JOB)}0000')
@@ -71,11 +71,11 @@
 
 
 class TestSpoiltPartials(SpoiltJobCase):
-    """Unfinished outputs: an item can always begin anew."""
+    """Unreadable checkpoints, whose items start again without output."""
 
     @params('note', '5', '0002.5', '00002', '000/2')
     def test_foreign_row(self, name):
-        """A row whose place is none of an item's is left out."""
+        """A row whose key is not that of a checkpoint is left out."""
         parts = [Checkpoint(2, '3', 'b')]
         self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         key = self.table.scan('partial/', Priority.report)[0].key
@@ -85,7 +85,7 @@
 
     @params(*spoilings(PARTIAL), ('last_id', {**PARTIAL, 'last_id': 'x'}))
     def test_left_out(self, name, value):
-        """One that cannot be read costs itself alone."""
+        """An unreadable checkpoint does not affect the others."""
         parts = [Checkpoint(0, '7', 'a'), Checkpoint(2, '3', 'b')]
         self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         keys = [row.key for row in self.table.scan('partial/', Priority.report)]
--- a/tests/test_stop_races.py
+++ b/tests/test_stop_races.py
@@ -1,8 +1,8 @@
-"""What is under way at the moment at which a process is told to stop.
+"""Tests of operations that are in progress when a process starts to stop.
 
-Each was looked at once, before the stop, and taken for over: a scan whose
-spans came after it, a job whose progress was being read, a renewal on its way
-to the store, counts of requests that were served later.
+Each operation has checked for a stop before it blocks, so that it completes
+after the stop: a scan that returns spans, a read of a job's progress, and a
+renewal of a membership row.
 """
 
 import unittest
@@ -40,10 +40,10 @@
 
 
 class SlowTable(MemoryTable):
-    """Holds the next call of one kind back until told to go on."""
+    """Blocks the next call of one kind until ``go_on`` is set."""
 
     def __init__(self, call: str) -> None:
-        """Hold the next ``call`` back once ``hold`` is set."""
+        """Block the next ``call`` once ``hold`` is True."""
         super().__init__()
         self.hold = False
         self.held = Event()
@@ -51,17 +51,17 @@
         self._call = call
 
     def transact(self, *args):
-        """Write, perhaps later."""
+        """Write the rows, after blocking if required."""
         self._wait('transact')
         return super().transact(*args)
 
     def scan(self, *args, **kwargs):
-        """Scan, perhaps later."""
+        """Scan the rows, after blocking if required."""
         self._wait('scan')
         return super().scan(*args, **kwargs)
 
     def read(self, *args):
-        """Read, perhaps later."""
+        """Read the rows, after blocking if required."""
         self._wait('read')
         return super().read(*args)
 
@@ -73,16 +73,16 @@
 
 
 def session_on(table, clock) -> Session:
-    """Return the session of an entry called ``one``."""
+    """Return the session of an entry named ``one``."""
     tenure = Tenure(StoreClock(clock))
     return Session(table, clock, 'one', ('127.0.0.1', 1), 'z', tenure)
 
 
 class TestSpans(unittest.TestCase):
-    """The batch driver of the product's own interface."""
+    """Spans of the batch driver during a stop."""
 
     def parts(self, table, clock):
-        """Return what a driver needs, its fleet of one entry."""
+        """Return the dependencies of a driver in a fleet of one entry."""
         cfg = SimpleNamespace(
             address=ADDRESS,
             batch=BatchSettings(shards=1),
@@ -93,13 +93,13 @@
         parts.catalog.by_path.return_value = SimpleNamespace(
             settings=SimpleNamespace(repeatable=False),
         )
-        # Input that does not come while the test runs.
+        # The input object does not arrive while the test runs.
         parts.objects.get.side_effect = lambda *_: gevent.sleep(60)
         self.addCleanup(parts.greenlets.kill)
         return parts
 
     def test_scan_under_way(self):
-        """What a scan finds after the stop is left to other entries."""
+        """Spans that a scan returns after the stop are not taken."""
         table, clock = SlowTable('scan'), ManualClock()
         due = clock.wall() + 9000
         span = Span('job', 'team', 0, '/s', '/u', 'x', [0, 1], 1, due, 0, False)
@@ -119,10 +119,10 @@
 
 
 class TestJobs(unittest.TestCase):
-    """The jobs of an entry that reaches upstreams itself."""
+    """Jobs of an entry that sends items directly to upstreams."""
 
     def test_begin_under_way(self):
-        """A job whose progress is being read at the stop is handed on."""
+        """A job whose progress is read during the stop is handed over."""
         table, clock = SlowTable('read'), ManualClock()
         session = session_on(table, clock)
         session.step()
@@ -147,7 +147,7 @@
         self.assertEqual(({}, ''), (scheduler.jobs, ledger.head('job').holder))
 
     def test_take_over_lost(self):
-        """Who loses the race for a job says so and reads it anew."""
+        """An entry that loses the race for a job logs it and reads the head."""
         manager, ledger = self.manager_over_mocks()
         ledger.take_over.side_effect = HoldLost('another entry was first')
         with mock.patch('cactusridge.logs.emit') as emit:
@@ -158,7 +158,7 @@
         self.assertEqual({events.TAKE_FAILED}, said)
 
     def manager_over_mocks(self):
-        """Return a manager that sees an orphaned job, and its ledger."""
+        """Return a manager that knows an orphaned job, and its ledger."""
         head = JobHead('job', 'h', '/p', 1, 0, '', '')
         heads, ledger = mock.Mock(), mock.Mock()
         heads.every.return_value = [head]
@@ -175,7 +175,7 @@
         return manager, ledger
 
     def test_renewal_under_way(self):
-        """An entry that has left is not brought back by its renewal."""
+        """A renewal in progress does not restore the row of a left entry."""
         table = SlowTable('transact')
         session = session_on(table, ManualClock())
         session.step()
@@ -190,7 +190,7 @@
         self.assertEqual([], [row.key for row in rows if row.value])
 
     def test_hand_over_that_waits(self):
-        """The entry leaves though a job can't be handed on in time."""
+        """The entry leaves even if the handover of jobs exceeds its timeout."""
         parts = object.__new__(JobParts)
         parts.manager = mock.Mock()
         parts.manager.stop.side_effect = lambda: gevent.sleep(60)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""The order of waiting items, played against more than the slots can do."""
+"""Tests of the order of waiting items under overload."""
 
 import unittest
 from typing import NamedTuple
@@ -19,36 +19,36 @@
 GIVE_UP_S = 60
 SLOTS = 16
 JOB_ITEMS = 10
-# A job every three seconds is a ninth more than sixteen slots can do.
+# One job every three seconds requires 18 slots, more than the 16 available.
 JOB_EVERY_S = 3.0
 JOBS = 20
 STEP_S = 0.1
 
 
 class Done(NamedTuple):
-    """An item that was run: submitted and ended, in seconds."""
+    """Times at which an item was submitted and completed, in seconds."""
 
     submitted_at: float
     ended_at: float
 
     @property
     def on_time(self):
-        """Whether it was done when it was due."""
+        """Whether the item completed by its due time."""
         return self.ended_at <= self.submitted_at + DUE_S
 
 
 class Overload:
-    """Jobs that come in, and slots that some replicas are lost from."""
+    """Simulates incoming jobs on slots of which some are lost."""
 
     def __init__(self, urgency: Urgency, lost_share: float) -> None:
-        """Start items by ``urgency`` in what slots are left."""
+        """Order items by ``urgency`` on the remaining slots."""
         self.done: list[Done] = []
         self._urgency = urgency
         self._slots = round(SLOTS * (1 - lost_share))
         self._waiting: list[float] = []
 
     def play(self) -> list[Done]:
-        """Submit all jobs; return every item as it was done."""
+        """Run the simulation; return the times of all items."""
         steps = 0
         while len(self.done) < JOBS * JOB_ITEMS:
             now = steps * STEP_S
@@ -76,13 +76,13 @@
 
 
 def on_time(urgency: Urgency, lost_share: float) -> int:
-    """Return how many items were done when they were due."""
+    """Return how many items completed by their due time."""
     done = Overload(urgency, lost_share).play()
     return sum(each.on_time for each in done)
 
 
 class TestUrgency(unittest.TestCase):
-    """Who starts first."""
+    """Ranks of items, and the effect of their order under overload."""
 
     @params(
         (ItemTimes(18, 60, 5), UrgencyClass.on_time),
@@ -93,18 +93,18 @@
         (ItemTimes(-30, 12, 5), UrgencyClass.late),
     )
     def test_standing(self, times, wanted):
-        """By what can still be met, and by what must be."""
+        """The urgency class depends on due time, give-up time and run time."""
         self.assertEqual(wanted, OnTimeFirst().rank(times)[0])
 
     @params((0.25, 1.5), (0.5, 2.0))
     def test_more_on_time(self, lost_share, times_more):
-        """With slots lost, far more is on time than by due time alone."""
+        """With lost slots far more items are on time than by due time alone."""
         naive = on_time(DueFirst(), lost_share)
         ours = on_time(OnTimeFirst(), lost_share)
         self.assertGreater(ours, times_more * naive)
 
     def test_no_worse_with_all_slots(self):
-        """Where nearly all can be on time, both orders do the same."""
+        """With all slots at least as many items are on time as by due time."""
         self.assertGreaterEqual(
             on_time(OnTimeFirst(), 0),
             on_time(DueFirst(), 0),
@@ -112,7 +112,7 @@
 
     @params(0.25, 0.5)
     def test_none_waits_too_long(self, lost_share):
-        """Everything is done before it might be given up, or nearly."""
+        """The slowest item is within the give-up time or that of ``DueFirst``."""
         done = Overload(OnTimeFirst(), lost_share).play()
         naive = Overload(DueFirst(), lost_share).play()
         self.assertLessEqual(
@@ -125,10 +125,10 @@
 
 
 class TestPace(unittest.TestCase):
-    """What is left of an item."""
+    """Estimates of the remaining run time of an item."""
 
     def test_learns(self):
-        """Nothing before the first item, then its time, less what is done."""
+        """The estimate is 0 before the first run, then follows the averages."""
         estimator = RunTimeEstimator()
         self.assertEqual(0, estimator.remaining_s(0))
         estimator.record_run(100, 2.0)
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -1,4 +1,4 @@
-"""Which items wait, start, or are given up, by the routes in force."""
+"""Tests of which items wait, start or are given up under a catalog."""
 
 import unittest
 from types import SimpleNamespace
@@ -40,10 +40,10 @@
 
 
 class FakeJob:
-    """A held job with one item that waits."""
+    """A held job with one pending item."""
 
     def __init__(self) -> None:
-        """Hold the item; note how it ends."""
+        """Create the pending item."""
         item = JobItem('i0', '/lots/0', {}, 'YQ==', 1)
         task = ItemTask(0, item, b'a', 'h')
         self.pending = {0: task}
@@ -60,23 +60,41 @@
         )
 
     def record_end(self, task: ItemTask, state: ItemState) -> None:
-        """Note how the item ended."""
+        """Record the final state of the item."""
         self.ends.append(state)
 
 
 class TestWaitingLine(unittest.TestCase):
-    """A taker may know an older configuration than the one it was before."""
+    """Tests of the queue with older, equal and newer catalogs.
+
+    An entry that takes over a job may know an older catalog than the entry
+    that accepted the job.
+    """
 
     @params(
-        ('its route is there', ACCEPTED_UNDER, True, 0, 1, []),
-        ('its route has ended', 6, False, 0, 0, [ItemState.given_up]),
-        ('nor was it there', ACCEPTED_UNDER, False, 0, 0, [ItemState.given_up]),
-        ('its route is not known yet', 4, False, 0, 0, []),
-        ('nothing is known yet', 0, False, 0, 0, []),
-        ('too late', 6, True, GIVE_UP_S + 4, 0, [ItemState.given_up]),
+        ('the route exists', ACCEPTED_UNDER, True, 0, 1, []),
+        ('the route was removed', 6, False, 0, 0, [ItemState.given_up]),
+        (
+            'the route never existed',
+            ACCEPTED_UNDER,
+            False,
+            0,
+            0,
+            [ItemState.given_up],
+        ),
+        ('the catalog is older than the job', 4, False, 0, 0, []),
+        ('there is no catalog yet', 0, False, 0, 0, []),
+        (
+            'the item has expired',
+            6,
+            True,
+            GIVE_UP_S + 4,
+            0,
+            [ItemState.given_up],
+        ),
     )
     def test_item(self, what, version, listed, age_s, waiting, ends):
-        """An item ends for want of a route only where that is known."""
+        """An item is given up only if a current catalog lacks its route."""
         routes = (ROUTE,) if listed else ()
         catalog = Catalog(version, routes, CallerLimits())
         store_clock = SimpleNamespace(now_ms=lambda: NOW_MS + age_s * 1000)
