--- a/cactusridge/jobs/ledger.py
+++ b/cactusridge/jobs/ledger.py
@@ -58,7 +58,8 @@
 from cactusridge.store.writer import insert_once
 
 # Maximum number of results in one transaction. Each takes at most about 23 KB,
-# far below the store's limits of one megabyte and 100 rows per transaction.
+# so that they stay well below the store's limits for one transaction: one
+# megabyte and 100 rows.
 MAX_COMMIT_RESULTS = 20
 # Maximum number of attempts to end a job whose head changes between the read
 # and the write. Only a takeover changes it, seldom twice in a row.
@@ -154,8 +155,9 @@
         return list(self._reader.readable(rows, parse_checkpoint))
 
     def take_over(self, head: JobHead, holder: str, life: str) -> JobHead:
-        """Make the entry ``holder`` of incarnation ``life`` the holder.
+        """Make an entry the holder of a job and return the new head.
 
+        ``holder`` is the entry's name and ``life`` its incarnation.
         Raises HoldLost if another entry has changed the job since ``head``
         was read, NotFound, StoreUnavailable, OutcomeUnknown and
         UnreadableRecord.
@@ -222,10 +224,11 @@
         return self._replace_head(head._replace(state=JobState.closed))
 
     def results(self, job_id: str, after: int) -> list[Result]:
-        """Return one or more results from position ``after`` on.
+        """Return one page of results from position ``after`` on.
 
-        The list is empty if there is no such result yet. Raises
-        StoreUnavailable, and UnreadableRecord for the first result.
+        The page is empty only if no result is stored at that position.
+        Raises StoreUnavailable, and UnreadableRecord if the first result
+        is unreadable.
         """
         return self._results.page(job_id, after)
 
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -48,7 +48,7 @@
         self._announce: Callable[[str, int], None] = tell_nobody
         self._peers_heard = peers_heard
         self._heads = heads
-        heads.on_change(self.changed)
+        heads.on_change(self.head_changed)
         self._starting: set[str] = set()
         self._stopping = False
 
@@ -56,7 +56,7 @@
         """Announce heads to peers with ``announce(job_id, version)``."""
         self._announce = announce
 
-    def changed(self, head: JobHead) -> None:
+    def head_changed(self, head: JobHead) -> None:
         """Stop a held job if a newer head has ended or reassigned it."""
         held = self._scheduler.jobs.get(head.id)
         if held is None:
