--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -112,7 +112,7 @@
 
     @params(0.25, 0.5)
     def test_none_waits_too_long(self, lost_share):
-        """Items complete within the give-up time or the time of ``DueFirst``."""
+        """Items complete within the give-up time or as fast as by due time."""
         done = Overload(OnTimeFirst(), lost_share).play()
         naive = Overload(DueFirst(), lost_share).play()
         self.assertLessEqual(
