--- a/cactusridge/jobs/janitor.py
+++ b/cactusridge/jobs/janitor.py
@@ -39,12 +39,12 @@
     def look(self) -> None:
         """Remove a limited number of expired jobs."""
         expired = [
-            head for head in self._heads.every() if self._is_expired(head)
+            head for head in self._heads.every() if self._should_remove(head)
         ]
         for head in expired[:MAX_REMOVED_PER_CHECK]:
             self._remove(head)
 
-    def _is_expired(self, head: JobHead) -> bool:
+    def _should_remove(self, head: JobHead) -> bool:
         if head.state == JobState.open or self._orphans.rank(head):
             return False
         age_s = (self._store_clock.now_ms() - head.created_ms) / MS
--- a/cactusridge/jobs/look_pacer.py
+++ b/cactusridge/jobs/look_pacer.py
@@ -10,8 +10,8 @@
 # held. A peer that times out or a replica that recovers frees slots without
 # any message that would wake the scheduler.
 BUSY_INTERVAL_S = 0.1
-# Time between two scheduling passes, in seconds, while no job is held and no
-# item is in flight.
+# Maximum time between two scheduling passes, in seconds, while no job is held
+# and no item is in flight, so that no free slot can be missed.
 IDLE_INTERVAL_S = 2.0
 # Minimum time between two scheduling passes, in seconds, in a fleet of
 # several cells, where the datagrams of many peers would each cause a pass.
