--- a/cactusridge/jobs/item_run.py
+++ b/cactusridge/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One item of a batch job, over as many runs as it takes."""
+"""Runs an item of a batch job, resuming its output over several runs."""
 
 import enum
 from typing import NamedTuple
@@ -21,16 +21,22 @@
 OK = 200
 UNPROCESSABLE = 422
 SERVER_FAULT = 500
-# Seconds without a byte after which a run goes on elsewhere: far over
-# the wait of a full queue at a replica and the pauses of a full engine.
-SILENCE_S = 3.0
-# Time handed to a replica with a run, in seconds: an item that needs
-# longer goes on from its last event in another run.
-RUN_LIMIT_S = 60.0
+# Read timeout of a run in seconds, after which the item is resumed in another
+# run. It is far longer than the wait in a full queue of a replica and the
+# pauses of a fully loaded engine.
+READ_TIMEOUT_S = 3.0
+# Deadline of one run in seconds, which is sent to the replica. An item that
+# takes longer is resumed after its last event in another run.
+RUN_DEADLINE_S = 60.0
 
 
-class RunEnd(enum.Enum):
-    """How one run of an item ended."""
+class RunOutcome(enum.Enum):
+    """Outcome of one run of an item.
+
+    ``completed`` is a whole output, ``impossible`` a genuine 422 of the
+    upstream and ``failed`` a genuine 500. After ``interrupted`` the item
+    is resumed, and the run does not count as a failure of the item.
+    """
 
     completed = 'completed'
     impossible = 'impossible'
@@ -39,7 +45,7 @@
 
 
 class ItemTask:
-    """An item and what there is of its output."""
+    """An item of a held job and its output so far."""
 
     def __init__(
         self,
@@ -49,7 +55,7 @@
         host: str,
         organisation: str = '',
     ) -> None:
-        """Start with no output; ``body`` is the item's, decoded."""
+        """Start with no output; ``body`` is the decoded body of the item."""
         self.index = index
         self.item = item
         self.body = body
@@ -61,58 +67,61 @@
             body,
         )
         self.failures = 0
-        # The last run broke or fell silent: the next one goes out on a
+        # Whether the last run was interrupted; if so, the next one uses a
         # new connection.
         self.interrupted = False
-        self.texts: list[str] = []
+        self.event_data: list[str] = []
         self.last_id: str | None = None
-        # The event up to which the output is in the store.
-        self.stored_id: str | None = None
+        # Id of the last event in the stored checkpoint.
+        self.checkpoint_id: str | None = None
 
     def restore(self, last_id: str, output: str) -> None:
-        """Go on from what an earlier holder had."""
-        self.texts = [output]
+        """Restore the output from the checkpoint of an earlier holder."""
+        self.event_data = [output]
         self.last_id = last_id
 
     @property
     def events(self) -> int:
-        """How many events of output there are; they are counted from 1."""
+        """Number of output events so far; event ids count from 1."""
         return int(self.last_id or 0)
 
     def output(self) -> str:
-        """Return the data of all events so far, a line each."""
-        return '\n'.join(self.texts)
+        """Return the data of all events so far, one line per event."""
+        return '\n'.join(self.event_data)
 
 
 class ItemRun(NamedTuple):
-    """Runs an item once at a replica."""
+    """One run of an item at a replica."""
 
     task: ItemTask
     head: JobHead
     runner: Runner
     clock: Clock
 
-    def go(self, replica: Replica) -> RunEnd:
-        """Run from the last event on; never raises a typed failure."""
+    def execute(self, replica: Replica) -> RunOutcome:
+        """Run the item from its last event on and return the outcome.
+
+        A CactusridgeError is not raised but returned as ``interrupted``.
+        """
         end = self._run(replica)
-        self.task.interrupted = end == RunEnd.interrupted
+        self.task.interrupted = end == RunOutcome.interrupted
         return end
 
-    def _run(self, replica: Replica) -> RunEnd:
+    def _run(self, replica: Replica) -> RunOutcome:
         try:
             run = self.runner.open(
                 replica,
                 self._request(),
                 WorkKind.batch,
-                RUN_LIMIT_S,
+                RUN_DEADLINE_S,
                 fresh=self.task.interrupted,
             )
         except CactusridgeError:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         try:
             return self._read(run)
         except CactusridgeError:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         finally:
             run.close()
 
@@ -134,36 +143,39 @@
             organisation=self.head.organisation,
         )
 
-    def _read(self, run: Run) -> RunEnd:
-        head = run.head(SILENCE_S)
+    def _read(self, run: Run) -> RunOutcome:
+        head = run.head(READ_TIMEOUT_S)
         if head.status == UNPROCESSABLE and head.genuine:
-            return RunEnd.impossible
+            return RunOutcome.impossible
         if head.status >= SERVER_FAULT:
             failed = head.status == SERVER_FAULT and head.genuine
-            return RunEnd.failed if failed else RunEnd.interrupted
+            return RunOutcome.failed if failed else RunOutcome.interrupted
         if head.status != OK:
-            return RunEnd.interrupted
+            return RunOutcome.interrupted
         self._read_events(run)
         run.survived()
-        return RunEnd.completed
+        return RunOutcome.completed
 
     def _read_events(self, run: Run) -> None:
         splitter = EventSplitter(self.task.last_id)
-        received = run.read(SILENCE_S)
+        received = run.read(READ_TIMEOUT_S)
         while received:
             for event in splitter.feed(received):
                 run.note_output()
-                self._take(event.id, event.payload)
-            received = run.read(SILENCE_S)
+                self._append_event(event.id, event.payload)
+            received = run.read(READ_TIMEOUT_S)
         if splitter.pending:
-            raise TruncatedReply('the stream ended within an event')
+            raise TruncatedReply('the stream ended in the middle of an event')
+
+    def _append_event(self, event_id: str | None, payload: str) -> None:
+        """Append one event to the output.
 
-    def _take(self, event_id: str | None, payload: str) -> None:
-        """Keep one event; it has to be the one after the last."""
+        Raises CrossedReply if it does not follow the last event.
+        """
         last = self.task.last_id
         if event_id is None:
-            raise CrossedReply('an event without an id')
+            raise CrossedReply('the stream has an event without an id')
         if last is not None and int(event_id) != int(last) + 1:
-            raise CrossedReply(f'event {event_id} after {last}')
-        self.task.texts.append(payload)
+            raise CrossedReply(f'event {event_id} does not follow event {last}')
+        self.task.event_data.append(payload)
         self.task.last_id = event_id
--- a/cactusridge/jobs/janitor.py
+++ b/cactusridge/jobs/janitor.py
@@ -1,4 +1,4 @@
-"""Removes jobs that are over and that nobody may read any more."""
+"""Removes finished jobs from the store after their retention time."""
 
 from cactusridge import events, logs
 from cactusridge.errors import CactusridgeError
@@ -8,18 +8,18 @@
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.store.store_clock import MS, StoreClock
 
-# How often an entry looks for such jobs, in seconds.
+# Interval in seconds at which an entry checks for jobs to remove.
 LOOK_S = 10.0
-# Kept this much longer than promised, in seconds: the promise counts
-# from the submission as its caller knows it.
-MARGIN_S = 60.0
-# Removed in one look, so that a pile of old jobs takes no more than a few
-# of the store's calls a second.
-MAX_AT_ONCE = 10
+# Time in seconds for which jobs are kept beyond the promised retention, which
+# counts from the submission by the caller's clock.
+RETENTION_MARGIN_S = 60.0
+# Maximum number of jobs removed in one check, so that many expired jobs cause
+# only a few calls to the store per second.
+MAX_REMOVED_PER_CHECK = 10
 
 
 class Janitor:
-    """Removes each old job from one entry, the first by rank."""
+    """Removes expired jobs; the first entry by rank removes each one."""
 
     def __init__(
         self,
@@ -29,20 +29,22 @@
         store_clock: StoreClock,
         keep_s: float,
     ) -> None:
-        """Keep jobs for ``keep_s`` seconds from their submission."""
+        """Keep jobs for at least ``keep_s`` seconds after their submission."""
         self._ledger = ledger
         self._heads = heads
         self._orphans = orphans
         self._store_clock = store_clock
-        self._keep_s = keep_s + MARGIN_S
+        self._keep_s = keep_s + RETENTION_MARGIN_S
 
     def look(self) -> None:
-        """Remove some jobs that are due."""
-        due = [head for head in self._heads.every() if self._is_due(head)]
-        for head in due[:MAX_AT_ONCE]:
+        """Remove a limited number of expired jobs."""
+        expired = [
+            head for head in self._heads.every() if self._should_remove(head)
+        ]
+        for head in expired[:MAX_REMOVED_PER_CHECK]:
             self._remove(head)
 
-    def _is_due(self, head: JobHead) -> bool:
+    def _should_remove(self, head: JobHead) -> bool:
         if head.state == JobState.open or self._orphans.rank(head):
             return False
         age_s = (self._store_clock.now_ms() - head.created_ms) / MS
--- a/cactusridge/jobs/ledger.py
+++ b/cactusridge/jobs/ledger.py
@@ -1,9 +1,10 @@
-"""The ledger of batch jobs: rows of the store under conditions.
+"""Stores batch jobs as rows that are written in conditional transactions.
 
-A job's rows share a part of their tables, so that one transaction covers
-them. Every write of a holder depends on the version of the progress row,
-which a take-over changes: a holder that has lost the job cannot list a
-result, whatever it believes.
+All rows of a job have the same shard in their keys, so that one transaction
+can write them. Every write of a holder is conditional on the version of the
+progress row, and a takeover changes that version. An entry that has lost a
+job therefore cannot commit a result, even if it still counts itself as the
+holder.
 """
 
 import contextlib
@@ -16,19 +17,19 @@
     StoreUnavailable,
 )
 from cactusridge.identity import new_id
-from cactusridge.jobs.heads import head_in
-from cactusridge.jobs.hold_writer import HoldLost, HoldWriter
+from cactusridge.jobs.heads import parse_head
+from cactusridge.jobs.hold_writer import ConditionalWriter, HoldLost
 from cactusridge.jobs.keys import (
+    checkpoint_prefix,
     head_key,
-    partial_prefix,
     progress_key,
     result_prefix,
 )
 from cactusridge.jobs.model import (
+    Checkpoint,
     JobHead,
     JobItem,
     JobState,
-    Partial,
     Progress,
     Result,
     head_value,
@@ -36,10 +37,10 @@
 from cactusridge.jobs.payloads import Payloads
 from cactusridge.jobs.result_rows import ResultReader
 from cactusridge.jobs.step import (
-    Step,
-    partial_in,
+    JobChanges,
+    parse_checkpoint,
+    parse_progress,
     progress_after,
-    progress_in,
     progress_value,
     step_writes,
 )
@@ -56,20 +57,22 @@
 from cactusridge.store.unreadable import UnreadableRecord
 from cactusridge.store.writer import insert_once
 
-# Results in one transaction; of at most some 23 KB each they stay well
-# under a transaction's megabyte and hundred rows.
-MAX_COMMIT = 20
-# Readings of a head that changes while its job is ended; only a take-over
-# changes it, and that seldom twice in a row.
-END_TRIES = 8
-# Rows removed in one transaction; the store takes a hundred.
-MAX_REMOVED = 90
-# Characters of unfinished output that a row takes, whatever they are.
-MAX_PARTIAL_CHARS = 15_000
+# Maximum number of results in one transaction. Each takes at most about 23 KB,
+# so that they stay well below the store's limits for one transaction: one
+# megabyte and 100 rows.
+MAX_COMMIT_RESULTS = 20
+# Maximum number of attempts to end a job whose head changes between the read
+# and the write. Only a takeover changes it, seldom twice in a row.
+MAX_END_ATTEMPTS = 8
+# Maximum number of rows removed in one transaction; the store allows 100.
+MAX_ROWS_REMOVED = 90
+# Maximum length of a checkpoint's output, in characters of any kind, which
+# one row of the store can hold.
+MAX_CHECKPOINT_CHARS = 15_000
 
 
 class JobLedger:
-    """Accepts, takes, commits, ends and reads jobs."""
+    """Stores, reads, takes over, commits, ends and removes jobs."""
 
     def __init__(
         self,
@@ -77,9 +80,9 @@
         objects: ObjectStore,
         clock: Clock,
     ) -> None:
-        """Keep everything in ``table``, large payloads in ``objects``."""
+        """Store rows in ``table`` and large payloads in ``objects``."""
         self._table = table
-        self._writer = HoldWriter(table)
+        self._writer = ConditionalWriter(table)
         self._payloads = Payloads(table, objects)
         self._clock = clock
         self._reader = RowReader()
@@ -90,16 +93,17 @@
         head: JobHead,
         items: Sequence[JobItem],
     ) -> JobHead:
-        """Store a job; return its head, which may be that of a resend.
+        """Store a job and return its head.
 
-        Raises StoreUnavailable if nothing was stored, OutcomeUnknown if
-        that could not be found out.
+        If a job with this id is stored already, return that job's head.
+        Raises StoreUnavailable if nothing was stored, and OutcomeUnknown
+        if it is not known whether the job was stored.
         """
         write_id = new_id('w', self._clock)
-        fresh = Progress([], {}, write_id)
+        initial = Progress([], {}, write_id)
         writes = [
             Write(head_key(head.id), head_value(head)),
-            Write(progress_key(head.id), progress_value(fresh)),
+            Write(progress_key(head.id), progress_value(initial)),
             *self._payloads.prepare(head.id, items, write_id),
         ]
         condition = Condition(head_key(head.id), ABSENT)
@@ -109,7 +113,7 @@
         try:
             return self.head(head.id)
         except (StoreUnavailable, UnreadableRecord) as exc:
-            # It is stored: nothing may be said that means it is not.
+            # The job is stored, so the error must not imply that it is not.
             raise OutcomeUnknown(str(exc), retry_after_s=1) from exc
 
     def head(self, job_id: str) -> JobHead:
@@ -118,18 +122,18 @@
         Raises NotFound, StoreUnavailable, UnreadableRecord.
         """
         row = self._table.read([head_key(job_id)], Priority.acceptance)[0]
-        head = self._reader.read(row, head_in)
+        head = self._reader.read(row, parse_head)
         if head is None:
             raise NotFound(f'no job {job_id}')
         return head
 
     def progress(self, job_id: str) -> Progress:
-        """Return what is committed of a job.
+        """Return the committed progress of a job.
 
         Raises NotFound, StoreUnavailable, UnreadableRecord.
         """
         row = self._table.read([progress_key(job_id)], Priority.lease)[0]
-        progress = self._reader.read(row, progress_in)
+        progress = self._reader.read(row, parse_progress)
         if progress is None:
             raise NotFound(f'no job {job_id}')
         return progress
@@ -141,16 +145,23 @@
         """
         return self._payloads.read(job_id)
 
-    def partials(self, job_id: str) -> list[Partial]:
-        """Return the unfinished outputs of a job's items.
+    def checkpoints(self, job_id: str) -> list[Checkpoint]:
+        """Return the checkpoints of a job's items.
 
-        One that cannot be read is left out: its item starts anew.
+        An unreadable checkpoint is left out, and its item starts again
+        without output. Raises StoreUnavailable.
         """
-        rows = self._table.scan(partial_prefix(job_id), Priority.commit)
-        return list(self._reader.readable(rows, partial_in))
+        rows = self._table.scan(checkpoint_prefix(job_id), Priority.commit)
+        return list(self._reader.readable(rows, parse_checkpoint))
 
-    def take(self, head: JobHead, holder: str, life: str) -> JobHead:
-        """Become the holder; raise HoldLost if another was faster."""
+    def take_over(self, head: JobHead, holder: str, life: str) -> JobHead:
+        """Make an entry the holder of a job and return the new head.
+
+        ``holder`` is the entry's name and ``life`` its incarnation.
+        Raises HoldLost if another entry has changed the job since ``head``
+        was read, NotFound, StoreUnavailable, OutcomeUnknown and
+        UnreadableRecord.
+        """
         progress = self.progress(head.id)
         taken = head._replace(holder=holder, life=life)
         write_id = new_id('w', self._clock)
@@ -169,59 +180,66 @@
         return self.head(head.id)
 
     def release(self, head: JobHead) -> None:
-        """Let any other entry take the job; raise HoldLost."""
-        self._put_head(head._replace(holder='', life=''))
+        """Clear the holder so that any entry may take over; raise HoldLost."""
+        self._replace_head(head._replace(holder='', life=''))
 
     def commit(
         self,
         job_id: str,
         progress: Progress,
-        step: Step,
+        changes: JobChanges,
     ) -> Progress:
-        """Take ``step`` from ``progress``; raise HoldLost.
+        """Commit ``changes`` after ``progress`` and return the new progress.
 
-        Raises StoreUnavailable or OutcomeUnknown if it has to be tried
-        again, with the same results in the same order.
+        Raises HoldLost if another entry has taken over the job. Raises
+        StoreUnavailable or OutcomeUnknown if the caller has to retry with
+        the same results in the same order.
         """
-        following = progress_after(progress, step, new_id('w', self._clock))
+        updated = progress_after(progress, changes, new_id('w', self._clock))
         version = self._writer.write(
             [Condition(progress_key(job_id), progress.version)],
-            list(step_writes(job_id, progress, following, step)),
-            (progress_key(job_id), following.write_id),
+            list(step_writes(job_id, progress, updated, changes)),
+            (progress_key(job_id), updated.write_id),
         )
-        return following._replace(version=version)
+        return updated._replace(version=version)
 
     def end(self, job_id: str) -> JobHead:
-        """End a job; repeating it is harmless. Raises NotFound."""
-        for _ in range(END_TRIES):
+        """End a job and return its head; ending an ended job has no effect.
+
+        Raises NotFound, StoreUnavailable, OutcomeUnknown, UnreadableRecord.
+        """
+        for _ in range(MAX_END_ATTEMPTS):
             head = self.head(job_id)
             if head.state == JobState.ended:
                 return head
-            # Where its holder changes meanwhile the newer row counts.
+            # If the holder has changed, the next attempt reads the new head.
             with contextlib.suppress(HoldLost):
-                return self._put_head(head._replace(state=JobState.ended))
-        raise OutcomeUnknown('the job changes too fast', retry_after_s=1)
+                return self._replace_head(head._replace(state=JobState.ended))
+        raise OutcomeUnknown(
+            'the job changed during every attempt to end it', retry_after_s=1
+        )
 
     def close(self, head: JobHead) -> JobHead:
-        """Note that every item of the job is listed."""
-        return self._put_head(head._replace(state=JobState.closed))
+        """Mark a job whose items are all finished as closed; raise HoldLost."""
+        return self._replace_head(head._replace(state=JobState.closed))
 
     def results(self, job_id: str, after: int) -> list[Result]:
-        """Return results from position ``after`` on, one if there is one.
+        """Return one page of results from position ``after`` on.
 
-        Raises StoreUnavailable, and UnreadableRecord if the first cannot
-        be read.
+        The page is empty only if no result is stored at that position.
+        Raises StoreUnavailable, and UnreadableRecord if the first result
+        is unreadable.
         """
         return self._results.page(job_id, after)
 
     def remove(self, head: JobHead) -> None:
-        """Remove a job that nobody may read any more, its head last."""
+        """Remove all rows of an expired job, its head last."""
         writes = self._payloads.drop(head.id)
-        for prefix in (result_prefix(head.id), partial_prefix(head.id)):
+        for prefix in (result_prefix(head.id), checkpoint_prefix(head.id)):
             rows = scan_all(self._table, prefix, Priority.report)
             writes.extend(Write(row.key, None) for row in rows)
-        for start in range(0, len(writes), MAX_REMOVED):
-            part = writes[start : start + MAX_REMOVED]
+        for start in range(0, len(writes), MAX_ROWS_REMOVED):
+            part = writes[start : start + MAX_ROWS_REMOVED]
             self._table.transact([], part, Priority.report)
         self._writer.write(
             [Condition(head_key(head.id), head.version)],
@@ -232,8 +250,8 @@
             None,
         )
 
-    def _put_head(self, head: JobHead) -> JobHead:
-        """Write a head over the version that it was read with."""
+    def _replace_head(self, head: JobHead) -> JobHead:
+        """Replace a head in the store; raise HoldLost if it has changed."""
         version = self._writer.write(
             [Condition(head_key(head.id), head.version)],
             [Write(head_key(head.id), head_value(head))],
--- a/cactusridge/jobs/look_pacer.py
+++ b/cactusridge/jobs/look_pacer.py
@@ -1,4 +1,4 @@
-"""When the batch scheduler looks for items to start or to end."""
+"""Decides when the batch scheduler runs its next scheduling pass."""
 
 import gevent
 from gevent.event import Event
@@ -6,34 +6,40 @@
 from cactusridge.clock import Clock
 from cactusridge.peers.cells import Cells
 
-# With nothing else to wake it the scheduler looks this often: a peer's
-# silence or a replica's recovery frees slots without a word.
-TICK_S = 0.1
-# Without any item to run there is nothing that could be overlooked.
-IDLE_TICK_S = 2.0
-# In a large fleet it looks at most this often, in seconds, and not at each
-# datagram of its many peers.
-LOOK_EVERY_S = 0.02
+# Maximum time between two scheduling passes, in seconds, while jobs are
+# held. A peer that times out or a replica that recovers frees slots without
+# any message that would wake the scheduler.
+BUSY_INTERVAL_S = 0.1
+# Maximum time between two scheduling passes, in seconds, while no job is held
+# and no item is in flight, so that no free slot can be missed.
+IDLE_INTERVAL_S = 2.0
+# Minimum time between two scheduling passes, in seconds, in a fleet of
+# several cells, where the datagrams of many peers would each cause a pass.
+MIN_PASS_INTERVAL_S = 0.02
 
 
-class LookPacer:
-    """Waits until a look is due."""
+class PassPacer:
+    """Waits until the next scheduling pass is due."""
 
     def __init__(self, clock: Clock, cells: Cells) -> None:
-        """Pace where there are several ``cells``."""
+        """Limit the rate of passes while ``cells`` has more than one cell."""
         self.wake = Event()
         self._clock = clock
         self._cells = cells
-        self._looked_at = float(0)
+        self._last_pass_at = float(0)
 
     def wait(self, busy: bool) -> None:
-        """Return when something has changed, or after a while.
+        """Wait until ``wake`` is set or the poll interval has passed.
 
-        In a large fleet further changes may come before the look.
+        The interval is shorter if ``busy``. In a fleet of several cells
+        the call waits longer to keep the minimum time between two passes,
+        so that one pass covers all changes up to then.
         """
-        self.wake.wait(TICK_S if busy else IDLE_TICK_S)
-        due_s = self._looked_at + LOOK_EVERY_S - self._clock.monotonic()
-        if due_s > 0 and self._cells.several:
-            gevent.sleep(due_s)
-        self._looked_at = self._clock.monotonic()
+        self.wake.wait(BUSY_INTERVAL_S if busy else IDLE_INTERVAL_S)
+        delay_s = (
+            self._last_pass_at + MIN_PASS_INTERVAL_S - self._clock.monotonic()
+        )
+        if delay_s > 0 and self._cells.several:
+            gevent.sleep(delay_s)
+        self._last_pass_at = self._clock.monotonic()
         self.wake.clear()
--- a/cactusridge/jobs/payloads.py
+++ b/cactusridge/jobs/payloads.py
@@ -1,4 +1,4 @@
-"""The items of a job as they are kept: rows, or an object if they are large."""
+"""Stores the items of a job in rows, or in one object if they are large."""
 
 import base64
 import re
@@ -9,27 +9,27 @@
 from cactusridge.errors import BadRequest, NotFound
 from cactusridge.jobs.keys import payload_prefix
 from cactusridge.jobs.model import JobItem
-from cactusridge.jobs.pieces import cut
+from cactusridge.jobs.pieces import split_text
 from cactusridge.store.fields import Fields
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write
 from cactusridge.store.unreadable import UnreadableField
 
-# Characters that go into rows. With their base64 and JSON they stay under
-# the megabyte of a transaction; more goes into an object, which takes a
-# call of its own and 25 ms.
+# Maximum number of characters stored in rows. Encoded in base64 and JSON they
+# stay below one megabyte, the limit of a transaction. Longer payloads go into
+# an object, which costs an extra call of 25 ms.
 INLINE_CHARS = 500_000
-OBJECT = 'object'
-TEXT = 'text'
+OBJECT_FIELD = 'object'
+TEXT_FIELD = 'text'
 BASE64 = re.compile('[A-Za-z0-9+/=]*')
 
 
 class Payloads:
-    """Stores and reads the items of jobs."""
+    """Writes, reads and removes the items of jobs."""
 
     def __init__(self, table: Table, objects: ObjectStore) -> None:
-        """Keep them in ``table`` and, where they are large, ``objects``."""
+        """Store items in ``table``, and large payloads in ``objects``."""
         self._table = table
         self._objects = objects
         self._reader = RowReader()
@@ -40,10 +40,10 @@
         items: Sequence[JobItem],
         unique: str,
     ) -> list[Write]:
-        """Return the rows to write with a job's head.
+        """Return the rows with the items, to be written with the head.
 
-        A large payload is put in the object store first, under a name
-        with ``unique`` in it, so that no other submission can replace
+        A large payload is first put into the object store. The name of its
+        object includes ``unique``, so that no other submission can replace
         it. Raises StoreUnavailable.
         """
         text = wire.encode([list(item) for item in items]).decode()
@@ -51,10 +51,10 @@
         if len(text) > INLINE_CHARS:
             name = f'job-{job_id}-{unique}'
             self._objects.put(name, text.encode(), Priority.acceptance)
-            return [Write(f'{prefix}0000', {OBJECT: name})]
+            return [Write(f'{prefix}0000', {OBJECT_FIELD: name})]
         return [
-            Write(f'{prefix}{number:04}', {TEXT: piece})
-            for number, piece in enumerate(cut(text))
+            Write(f'{prefix}{number:04}', {TEXT_FIELD: piece})
+            for number, piece in enumerate(split_text(text))
         ]
 
     def read(self, job_id: str) -> list[JobItem]:
@@ -64,81 +64,88 @@
         """
         prefix = payload_prefix(job_id)
         scanned = self._table.scan(prefix, Priority.commit)
-        rows = [row for row in scanned if self._is_ours(row, prefix)]
+        rows = [row for row in scanned if self._is_payload_row(row, prefix)]
         if not rows:
             raise NotFound(f'no job {job_id}')
-        raw = self._raw(rows)
+        raw = self._payload_bytes(rows)
         try:
-            return items_in(raw)
+            return parse_items(raw)
         except UnreadableField as exc:
             self._reader.refuse(rows[0], str(exc))
 
     def drop(self, job_id: str) -> list[Write]:
-        """Return the writes that remove a job's items; drop its object."""
+        """Delete the object of a job and return writes that delete its rows.
+
+        Raises StoreUnavailable.
+        """
         rows = self._table.scan(payload_prefix(job_id), Priority.report)
-        for piece in self._reader.readable(rows, _piece):
+        for piece in self._reader.readable(rows, _parse_piece):
             if piece.object_name:
                 self._objects.drop(piece.object_name, Priority.report)
         return [Write(row.key, None) for row in rows]
 
-    def _is_ours(self, row: Row, prefix: str) -> bool:
-        """Tell whether a row's key is one of a payload's; log others."""
-        ours = row.key.removeprefix(prefix).isdecimal()
-        if not ours:
-            self._reader.report(row, 'no place of items')
-        return ours
+    def _is_payload_row(self, row: Row, prefix: str) -> bool:
+        """Return whether a row's key is that of a payload; log it if not."""
+        is_payload_row = row.key.removeprefix(prefix).isdecimal()
+        if not is_payload_row:
+            self._reader.report(row, 'the key is not that of a payload row')
+        return is_payload_row
 
-    def _raw(self, rows: list[Row]) -> bytes:
-        """Return the bytes of a payload; raise UnreadableRecord."""
-        pieces = [self._reader.read(row, _piece) for row in rows]
+    def _payload_bytes(self, rows: list[Row]) -> bytes:
+        """Join the rows of a payload; raise UnreadableRecord."""
+        pieces = [self._reader.read(row, _parse_piece) for row in rows]
         numbers = [row.key.rpartition('.')[-1] for row in rows]
-        wanted = [f'{number:04}' for number in range(len(rows))]
-        if None in pieces or numbers != wanted:
-            self._reader.refuse(rows[0], f'the rows are {numbers}')
+        expected = [f'{number:04}' for number in range(len(rows))]
+        if None in pieces or numbers != expected:
+            self._reader.refuse(
+                rows[0], f'the rows of the payload are {numbers}'
+            )
         name = pieces[0].object_name
         if not name:
             return ''.join(piece.text for piece in pieces).encode()
         try:
             return self._objects.get(name)
         except NotFound:
-            self._reader.refuse(rows[0], f'no object {name}')
+            self._reader.refuse(rows[0], f'the object {name} does not exist')
 
 
 class Piece(NamedTuple):
-    """A row of a payload: a text, or the name of an object instead."""
+    """Content of a payload row: a piece of text or the name of an object."""
 
     text: str
     object_name: str
 
 
-def items_in(raw: bytes) -> list[JobItem]:
-    """Return the items in a payload's bytes; raise UnreadableField."""
+def parse_items(raw: bytes) -> list[JobItem]:
+    """Parse the items from the bytes of a payload; raise UnreadableField."""
     try:
         entries = wire.decode(raw)
     except BadRequest as exc:
         raise UnreadableField(str(exc)) from exc
     if not isinstance(entries, list):
-        raise UnreadableField('the items are no list')
-    return [_item(entry) for entry in entries]
+        raise UnreadableField('the items are not a list')
+    return [_parse_item(entry) for entry in entries]
 
 
-def _piece(row: Row) -> Piece:
+def _parse_piece(row: Row) -> Piece:
     fields = Fields(row.value)
-    name = fields.text(OBJECT, '')
-    return Piece('' if name else fields.text(TEXT), name)
+    name = fields.text(OBJECT_FIELD, '')
+    return Piece('' if name else fields.text(TEXT_FIELD), name)
 
 
-def _item(entry: Any) -> JobItem:
+def _parse_item(entry: Any) -> JobItem:
     if not isinstance(entry, list) or len(entry) != len(JobItem._fields):
-        raise UnreadableField('an item is no list of its fields')
+        raise UnreadableField('an item is not a list of its fields')
     fields = Fields(dict(zip(JobItem._fields, entry, strict=True)))
     body = fields.text('body')
     if not BASE64.fullmatch(body):
-        raise UnreadableField('the body of an item is no base64')
+        raise UnreadableField('the body of an item is not base64')
     try:
         base64.b64decode(body)
     except ValueError as exc:
-        raise UnreadableField(f'the body of an item: {exc}') from exc
+        raise UnreadableField(
+            f'the body of an item is not base64: {exc}'
+        ) from exc
     return JobItem(
         fields.text('id'),
         fields.text('path'),
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -1,4 +1,4 @@
-"""Which entries live, by rows that each renews in the store."""
+"""Membership of entries, based on leases that each renews in the store."""
 
 import secrets
 from collections.abc import Callable
@@ -16,22 +16,25 @@
 from cactusridge.store.unreadable import UnreadableField, UnreadableRecord
 
 PREFIX = 'members//'
-# Renewals and readings, one of each a second and entry: two of the
-# store's calls, of some thousands a second.
+# Interval in seconds between renewals, each followed by a read: two calls per
+# second and entry to a store that handles some thousands per second.
 RENEW_S = 1.0
-# An entry whose row has not changed for this long is taken for dead: two
-# lost renewals and the time to read a third.
+# Lease in seconds: an entry whose row has not changed for this long counts as
+# dead. The lease covers two lost renewals and the time to read a third one.
 LEASE_S = 3.2
-# A holder sends nothing more this long before others may take its jobs.
-MARGIN_S = 0.7
+# Safety margin in seconds: an entry stops relying on its lease this long before
+# other entries may take over its jobs.
+LEASE_MARGIN_S = 0.7
 MAX_PORT = 65_535
 
 
 class Member(NamedTuple):
-    """An entry as its row has it; ``life`` is its process's incarnation.
+    """An entry as described in its row of the membership list.
 
-    ``since_ms`` is the store's time from which on it has been listed
-    without a gap; 0 if its row does not tell.
+    ``life`` is the incarnation of its process. Peers connect to ``host``
+    and ``port``. ``since_ms`` is the time by the store's clock since which
+    the entry has been a member without interruption, in milliseconds; it
+    is 0 if the row does not have it.
     """
 
     name: str
@@ -42,11 +45,12 @@
     since_ms: int = 0
 
 
-class Seen(NamedTuple):
-    """A member's row version and when it was first read.
+class MemberRecord(NamedTuple):
+    """A member, the version of its row and when that version was read.
 
-    Without a member its row could never be read; whose it is lives, in
-    whatever incarnation, until a lease has passed.
+    ``seen_at`` is in seconds of the monotonic clock. ``member`` is None if
+    the row has been unreadable since it was found. Its entry then counts
+    as live, in any incarnation, until a lease has passed.
     """
 
     member: Member | None
@@ -55,7 +59,7 @@
 
 
 class Session:
-    """Renews this entry's row and watches the others'."""
+    """Renews this entry's lease and tracks the leases of the others."""
 
     def __init__(
         self,
@@ -66,31 +70,38 @@
         zone: str,
         tenure: Tenure,
     ) -> None:
-        """Live as ``name``; peers reach this entry at ``address``."""
+        """Prepare the membership of the entry ``name``, not yet stored.
+
+        Peers connect to ``address``.
+        """
         self.me = Member(name, secrets.token_hex(8), *address, zone)
         self.renewed_at: float | None = None
         self._tenure = tenure
         self._table = table
         self._clock = clock
-        self._seen: dict[str, Seen] = {}
+        self._records: dict[str, MemberRecord] = {}
         self._reader = RowReader()
         self._read_at: float | None = None
-        self._left = False
+        self._has_left = False
         self._on_read: Callable[[], None] | None = None
-        # One write at a time: a renewal that reached the store after the
-        # removal would bring the row back for a whole lease.
-        self._writing = RLock()
+        # Serialises the writes of this entry's row: a renewal that reached
+        # the store after the removal would restore the row for a lease.
+        self._write_lock = RLock()
 
     def on_read(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` at once when the list has been read.
+        """Call ``listener`` after each read of the membership list.
 
-        It must not wait: nothing else sees the list before it.
+        The listener must not block or switch greenlets, so that no other
+        greenlet sees the new list before the listener has run.
         """
         self._on_read = listener
 
     def step(self) -> None:
-        """Renew and read once; the store may be away."""
-        if self._left:
+        """Renew the lease and read the members once.
+
+        Failures of the store are logged and not raised.
+        """
+        if self._has_left:
             return
         try:
             self._renew()
@@ -98,139 +109,158 @@
             logs.emit(events.RENEWAL_FAILED, error=str(exc))
         try:
             self._read()
-        except StoreUnavailable as unread:
-            # Nothing can be said of rows that could not be read: the
-            # silence of the others is counted from the next reading.
+        except StoreUnavailable as read_error:
+            # Without a read, other entries may have renewed their leases
+            # unnoticed: all leases count anew from the next read.
             self._read_at = None
-            logs.emit(events.RENEWAL_FAILED, error=str(unread))
+            logs.emit(events.RENEWAL_FAILED, error=str(read_error))
 
     def may_dispatch(self) -> bool:
-        """Tell whether no other entry can have taken this one's jobs."""
+        """Return whether no other entry can have taken over this one's jobs.
+
+        That holds until this entry's lease, less a margin, has expired.
+        """
         if self.renewed_at is None:
             return False
-        held_s = self._clock.monotonic() - self.renewed_at
-        return held_s < LEASE_S - MARGIN_S
+        lease_age_s = self._clock.monotonic() - self.renewed_at
+        return lease_age_s < LEASE_S - LEASE_MARGIN_S
 
     def in_touch(self) -> bool:
-        """Tell whether the list is read and this entry's row renewed.
+        """Return whether both the last read and the last renewal are recent.
 
-        Whoever else is in touch then knows the same entries, but for
-        those that have come in the last moments.
+        All entries for which this holds know the same members, except for
+        those that joined a few moments ago.
         """
         if self._read_at is None:
             return False
-        read_s = self._clock.monotonic() - self._read_at
-        return read_s < LEASE_S - MARGIN_S and self.may_dispatch()
+        read_age_s = self._clock.monotonic() - self._read_at
+        return read_age_s < LEASE_S - LEASE_MARGIN_S and self.may_dispatch()
 
     @property
     def listed(self) -> bool:
-        """Whether the list of entries has been read, with this one in it."""
-        return bool(self._seen) and self.renewed_at is not None
+        """Whether the members have been read and this entry is one of them."""
+        return bool(self._records) and self.renewed_at is not None
 
     def members(self) -> list[Member]:
-        """Return the entries that live, this one among them.
+        """Return the live members, including this entry.
 
-        While the rows cannot be read these are the ones read last.
+        While the rows cannot be read, these are the members of the last
+        read.
         """
         others = [
-            seen.member
-            for seen in self._seen.values()
-            if seen.member is not None
-            and seen.member.name != self.me.name
-            and not self._is_silent(seen)
+            record.member
+            for record in self._records.values()
+            if record.member is not None
+            and record.member.name != self.me.name
+            and not self._is_expired(record)
         ]
         return [self.me, *others]
 
     def lives(self, name: str, life: str) -> bool:
-        """Tell whether a holder may still be at work.
+        """Return whether the holder of a job may still be running.
 
-        Before the first reading everybody may be.
+        ``name`` is the entry that holds the job and ``life`` its
+        incarnation. Until the members have been read, every holder other
+        than this entry counts as live.
         """
         if name == self.me.name:
             return life == self.me.life
         if self._read_at is None:
             return True
-        seen = self._seen.get(name)
-        if seen is None:
+        record = self._records.get(name)
+        if record is None:
             return False
-        if seen.member is not None and seen.member.life != life:
+        if record.member is not None and record.member.life != life:
             return False
-        return not self._is_silent(seen)
+        return not self._is_expired(record)
 
     def leave(self) -> None:
-        """Remove this entry's row, so that nobody waits for its lease."""
-        self._left = True
+        """Remove this entry's row so that others need not await its expiry.
+
+        Raises StoreUnavailable, WriteUnknown.
+        """
+        self._has_left = True
         write = Write(f'{PREFIX}{self.me.name}', None)
-        with self._writing:
+        with self._write_lock:
             self._table.transact([], [write], Priority.lease)
 
-    def _is_silent(self, seen: Seen) -> bool:
-        """Tell whether a row that can be read has not been renewed."""
+    def _is_expired(self, record: MemberRecord) -> bool:
+        """Return whether a member's lease has expired.
+
+        No lease counts as expired after a read that failed.
+        """
         if self._read_at is None:
             return False
-        return self._clock.monotonic() - seen.seen_at >= LEASE_S
+        return self._clock.monotonic() - record.seen_at >= LEASE_S
 
     def _renew(self) -> None:
         key = f'{PREFIX}{self.me.name}'
-        with self._writing:
-            if self._left:
+        with self._write_lock:
+            if self._has_left:
                 return
             since_ms = self._tenure.since_ms(self._table, key)
             self.me = self.me._replace(since_ms=since_ms)
-            beat = {'beat': secrets.token_hex(4), **self._tenure.stamp()}
-            write = Write(key, {**self.me._asdict(), **beat})
+            heartbeat = {
+                'beat': secrets.token_hex(4),
+                **self._tenure.renewal_field(),
+            }
+            write = Write(key, {**self.me._asdict(), **heartbeat})
             sent_at = self._clock.monotonic()
             self._table.transact([], [write], Priority.lease)
         self.renewed_at = sent_at
-        self._tenure.renewed()
+        self._tenure.confirm_renewal()
 
     def _read(self) -> None:
         rows = self._table.scan(PREFIX, Priority.lease)
         now = self._clock.monotonic()
-        anew = self._read_at is None
-        known = set(self._seen)
-        self._seen = {
-            row.key.removeprefix(PREFIX): self._note(row, now, anew)
+        restart = self._read_at is None
+        known = set(self._records)
+        self._records = {
+            row.key.removeprefix(PREFIX): self._updated_record(
+                row, now, restart
+            )
             for row in rows
             if not row.absent
         }
         self._read_at = now
         if self._on_read is not None:
             self._on_read()
-        for name in set(self._seen) - known:
+        for name in set(self._records) - known:
             logs.emit(events.MEMBER_FOUND, member=name)
-        for gone in known - set(self._seen):
-            logs.emit(events.MEMBER_GONE, member=gone)
-
-    def _note(self, row: Row, now: float, anew: bool) -> Seen:
-        known = self._seen.get(row.key.removeprefix(PREFIX))
-        if known and not anew and known.version == row.version:
+        for departed in known - set(self._records):
+            logs.emit(events.MEMBER_GONE, member=departed)
+
+    def _updated_record(
+        self, row: Row, now: float, restart: bool
+    ) -> MemberRecord:
+        known = self._records.get(row.key.removeprefix(PREFIX))
+        if known and not restart and known.version == row.version:
             return known
         try:
-            member = self._reader.read(row, _member)
+            member = self._reader.read(row, _parse_member)
         except UnreadableRecord:
-            return self._unreadable(known, row, now, anew)
-        return Seen(member, row.version, now)
+            return self._unreadable_record(known, row, now, restart)
+        return MemberRecord(member, row.version, now)
 
-    def _unreadable(
+    def _unreadable_record(
         self,
-        known: Seen | None,
+        known: MemberRecord | None,
         row: Row,
         now: float,
-        anew: bool,
-    ) -> Seen:
-        """Return what a row that cannot be read leaves known.
+        restart: bool,
+    ) -> MemberRecord:
+        """Return the record of a member whose row has become unreadable.
 
-        It neither renews a lease nor ends one early: somebody else may
-        have written over the row of an entry that lives.
+        An unreadable row neither renews a lease nor ends it early, since
+        another writer may have overwritten the row of a live entry.
         """
         if known is None:
-            return Seen(None, row.version, now)
-        seen_at = now if anew else known.seen_at
-        return Seen(known.member, row.version, seen_at)
+            return MemberRecord(None, row.version, now)
+        seen_at = now if restart else known.seen_at
+        return MemberRecord(known.member, row.version, seen_at)
 
 
-def _member(row: Row) -> Member:
+def _parse_member(row: Row) -> Member:
     fields = Fields(row.value)
     member = Member(
         fields.text('name'),
@@ -241,14 +271,14 @@
         fields.whole('since_ms', 0),
     )
     if member.name != row.key.removeprefix(PREFIX):
-        raise UnreadableField(f'it names {member.name}')
+        raise UnreadableField(f'the row names the entry {member.name}')
     if not 0 < member.port <= MAX_PORT:
-        raise UnreadableField(f'port {member.port}')
+        raise UnreadableField(f'port {member.port} is out of range')
     return member
 
 
 def ignore_store_errors(action: Any) -> None:
-    """Do something that may fail with the store; say so if it does."""
+    """Call ``action``; log a CactusridgeError instead of raising it."""
     try:
         action()
     except CactusridgeError as exc:
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -1,4 +1,4 @@
-"""The items that could start now, in the order in which they should."""
+"""Queue of the batch items that may start now, the most urgent first."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -9,23 +9,23 @@
 from cactusridge.jobs.held_job import HeldJob
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState
-from cactusridge.jobs.pace import Pace
-from cactusridge.jobs.urgency import ItemTimes, Standing, Urgency
+from cactusridge.jobs.pace import RunTimeEstimator
+from cactusridge.jobs.urgency import ItemTimes, Urgency, UrgencyClass
 from cactusridge.quarantine.suspects import Suspects
 from cactusridge.store.store_clock import MS, StoreClock
 
-# Pause of an item whose run was interrupted, in seconds: a replica that
-# is full or breaking off is not asked again within a step or two.
+# Delay in seconds before an interrupted item may start again, so that it is
+# not sent at once to a replica that is full or that closes connections.
 INTERRUPTED_PAUSE_S = 0.15
-# An item is given up this many seconds after it may be, so that a job
-# that was sent again later by its caller is not cut short.
+# Time in seconds by which an item is given up later than the route allows, so
+# that a job which its caller has submitted again later is not cut short.
 GIVE_UP_MARGIN_S = 3.0
 
 
-class Waiting(NamedTuple):
-    """An item that could start, with what decides its place in the line."""
+class WaitingItem(NamedTuple):
+    """An item that may start, its rank in the queue and its route."""
 
-    rank: tuple[Standing, float]
+    rank: tuple[UrgencyClass, float]
     index: int
     job: HeldJob
     task: ItemTask
@@ -33,7 +33,7 @@
 
 
 class WaitingLine:
-    """Orders the waiting items of held jobs; gives up what is too late."""
+    """Orders the pending items of held jobs and gives up expired items."""
 
     def __init__(
         self,
@@ -43,78 +43,82 @@
         urgency: Urgency,
         suspects: Suspects,
     ) -> None:
-        """Go by the routes of the ``catalog`` in force."""
+        """Use the routes of the catalog that ``catalog`` returns."""
         self._suspects = suspects
         self._clock = clock
         self._store_clock = store_clock
         self._catalog = catalog
         self._urgency = urgency
-        self._paces: dict[str, Pace] = {}
+        self._run_times: dict[str, RunTimeEstimator] = {}
         self._not_before: dict[str, float] = {}
         self._routes = RouteMatches()
 
-    def urgent_first(self, jobs: Iterable[HeldJob]) -> list[Waiting]:
-        """Return the items of ``jobs`` that may start, in their order."""
-        return sorted(self._waiting(list(jobs)), key=_place)
+    def urgent_first(self, jobs: Iterable[HeldJob]) -> list[WaitingItem]:
+        """Return the items of ``jobs`` that may start, most urgent first."""
+        return sorted(self._waiting_items(list(jobs)), key=_sort_key)
 
-    def pace(self, route: Route) -> Pace:
-        """Return what is known of how long items of a route take."""
-        found = self._paces.get(route.name)
+    def run_times(self, route: Route) -> RunTimeEstimator:
+        """Return the run time estimator of a route's items."""
+        found = self._run_times.get(route.name)
         if found is None:
-            found = Pace()
-            self._paces[route.name] = found
+            found = RunTimeEstimator()
+            self._run_times[route.name] = found
         return found
 
-    def pause(self, task: ItemTask) -> None:
-        """Keep an item from starting for a moment."""
+    def delay(self, task: ItemTask) -> None:
+        """Delay the next start of an interrupted or failed item."""
         now = self._clock.monotonic()
         self._not_before[task.item.id] = now + INTERRUPTED_PAUSE_S
 
-    def end(self, job: HeldJob, task: ItemTask, state: ItemState) -> None:
-        """End an item for good."""
+    def finish(self, job: HeldJob, task: ItemTask, state: ItemState) -> None:
+        """Record the final state of an item and remove it from its job."""
         job.pending.pop(task.index, None)
         self._not_before.pop(task.item.id, None)
-        job.note_end(task, state)
+        job.record_end(task, state)
 
-    def _waiting(self, jobs: list[HeldJob]) -> list[Waiting]:
+    def _waiting_items(self, jobs: list[HeldJob]) -> list[WaitingItem]:
         now = self._clock.monotonic()
         found = []
         for job in jobs:
             for task in list(job.pending.values()):
                 if self._not_before.get(task.item.id, 0) > now:
                     continue
-                waiting = self._place_in_line(job, task)
+                waiting = self._queue_entry(job, task)
                 if waiting is not None:
                     found.append(waiting)
         return found
 
-    def _place_in_line(self, job: HeldJob, task: ItemTask) -> Waiting | None:
-        """Return an item's place, or None after giving it up."""
+    def _queue_entry(self, job: HeldJob, task: ItemTask) -> WaitingItem | None:
+        """Return the queue entry of an item, or None if it may not start.
+
+        An item without a route, or whose time has expired, is given up.
+        """
         catalog = self._catalog()
         if not catalog.version or catalog.version < job.head.catalog_version:
-            # A taker whose feed of configurations is silent: the route
-            # that it does not know may be newer than what it knows.
+            # This entry has no catalog, or one older than the job: a route
+            # that is missing here may be in a newer catalog.
             return None
         path = task.item.path.partition('?')[0]
         route = self._routes.match(catalog, job.head.host, path)
         age_s = (self._store_clock.now_ms() - job.head.created_ms) / MS
         if route is None:
-            self.end(job, task, ItemState.given_up)
+            self.finish(job, task, ItemState.given_up)
             return None
         if age_s > route.give_up_s + GIVE_UP_MARGIN_S:
-            self.end(job, task, ItemState.given_up)
+            self.finish(job, task, ItemState.given_up)
             return None
         if self._suspects.is_held(task.fingerprint):
-            # It waits until it may be given up or is held back no longer.
+            # A quarantined item waits until its quarantine ends or its time
+            # expires.
             return None
         times = ItemTimes(
             route.due_s - age_s,
             route.give_up_s - age_s,
-            self.pace(route).left_s(task.events),
+            self.run_times(route).remaining_s(task.events),
         )
         rank = self._urgency.rank(times)
-        return Waiting(rank, task.index, job, task, route)
+        return WaitingItem(rank, task.index, job, task, route)
 
 
-def _place(waiting: Waiting) -> tuple[tuple[Standing, float], int]:
+def _sort_key(waiting: WaitingItem) -> tuple[tuple[UrgencyClass, float], int]:
     return waiting.rank, waiting.index
