--- a/cactusridge/organisations/__init__.py
+++ b/cactusridge/organisations/__init__.py
@@ -1,1 +1,1 @@
-"""Who callers belong to: organisations, their keys and their limits."""
+"""Organisations that callers belong to, their API keys and rate limits."""
--- a/cactusridge/organisations/directory.py
+++ b/cactusridge/organisations/directory.py
@@ -1,4 +1,4 @@
-"""Which organisation holds which key, in one version of the configuration."""
+"""Index of organisations by API key and name, for one catalog version."""
 
 from collections.abc import Iterable, Mapping
 from types import MappingProxyType
@@ -8,17 +8,17 @@
 
 
 class Holder(NamedTuple):
-    """An organisation and the digests of its keys."""
+    """An organisation and the SHA-256 digests (hex) of its API keys."""
 
     organisation: Organisation
     digests: tuple[str, ...]
 
 
 class Directory:
-    """Finds organisations by key and by name."""
+    """Looks up organisations by key digest and by name; immutable."""
 
     def __init__(self, holders: Iterable[Holder]) -> None:
-        """Index the keys of ``holders``."""
+        """Index ``holders`` by key digest and by organisation name."""
         listed = tuple(holders)
         self._by_digest: Mapping[str, Organisation] = MappingProxyType(
             {
@@ -32,13 +32,13 @@
         )
 
     def by_digest(self, digest: str) -> Organisation | None:
-        """Return the organisation that holds the key of a digest."""
+        """Return the organisation whose key has ``digest``, or None."""
         return self._by_digest.get(digest)
 
     def named(self, name: str) -> Organisation | None:
-        """Return the organisation called ``name``."""
+        """Return the organisation called ``name``, or None."""
         return self._by_name.get(name)
 
     def every(self) -> list[Organisation]:
-        """Return all organisations."""
+        """Return all organisations of this catalog version."""
         return list(self._by_name.values())
--- a/cactusridge/organisations/errors.py
+++ b/cactusridge/organisations/errors.py
@@ -1,9 +1,10 @@
-"""Why a caller is not let in."""
+"""Errors raised when a caller's key or rate limit rejects its request."""
 
 from cactusridge.errors import Overloaded, Refused, Unauthorized
 
-# An entry that the store turns away does not know for how long; others
-# have it, and a caller that comes back reaches another.
+# Retry-After value in seconds. An entry that cannot read the store does not
+# know when it will recover, but other entries may still have access, and a
+# caller that retries is likely to reach one of them.
 KEYS_RETRY_S = 0.3
 
 
@@ -12,20 +13,20 @@
 
 
 class KeysUnsure(Refused):
-    """This entry cannot vouch for the keys that it knows any more."""
+    """This entry cannot confirm that its copy of the API keys is current."""
 
     code = 'keys_unsure'
     come_back_s = KEYS_RETRY_S
 
 
 class OverLimit(Overloaded):
-    """The organisation is over its limit."""
+    """The organisation has exceeded its rate limit."""
 
     code = 'over_limit'
 
 
 class LimitUnsure(Refused):
-    """Nobody could be asked about the organisation's limit."""
+    """No entry that counts the organisation's rate limit could be reached."""
 
     code = 'limit_unsure'
     come_back_s = KEYS_RETRY_S
--- a/cactusridge/organisations/home_limits.py
+++ b/cactusridge/organisations/home_limits.py
@@ -1,4 +1,4 @@
-"""Limits that are counted at one entry for each organisation."""
+"""Rate limiter that counts each organisation at a single owner entry."""
 
 from cactusridge.clock import Clock
 from cactusridge.organisations.errors import LimitUnsure
@@ -8,76 +8,89 @@
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 
-# An entry that did not answer is not asked again for this long, seconds.
-SILENT_S = 0.5
+# Seconds without further requests to an entry that sent no response.
+PEER_BACKOFF_S = 0.5
 
 
 class HomeLimits(Limiter):
-    """Asks the home of an organisation for each of its requests.
+    """Requests a token from an organisation's owner for every call.
 
-    A question costs a datagram each way and two copies of what is left,
-    whatever the size of the fleet. Nothing is handed out before it is
-    asked for: no share is left where nobody comes, or lost with its holder.
+    Each call costs one request and one response datagram, plus one copy
+    of the remaining tokens to each of the two backup owners, whatever the
+    size of the fleet. Tokens are never allotted to entries in advance, so
+    none lie unused at an entry without callers or are lost in a crash.
     """
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         homes: Homes,
         home: LimitHome,
         asker: Asker,
         clock: Clock,
     ) -> None:
-        """Ask as ``me``; ``home`` answers where that is the home."""
-        self._me = me
+        """Create the limiter of the entry whose address is ``own_name``.
+
+        ``home`` counts the requests that this entry itself owns; ``asker``
+        sends requests to the other entries.
+        """
+        self._own_name = own_name
         self._homes = homes
         self._home = home
         self._asker = asker
         self._clock = clock
-        self._silent_until: dict[str, float] = {}
-        # Of the silent ones, those that have ended for certain.
+        self._backoff_until: dict[str, float] = {}
+        # Entries in backoff whose process is known to have exited.
         self._ended: set[str] = set()
 
     def take(self, name: str, limit: RateLimit, version: int) -> float:
-        """Ask the home, then those who stand in for it."""
-        asked = LimitAsk(name, limit, version)
+        """Request a token from the owner, then from each backup owner.
+
+        Returns 0, or the seconds until a token is available. Raises
+        LimitUnsure if no entry counted the request.
+        """
+        request = LimitAsk(name, limit, version)
         for entry in self._homes.ranked(name):
-            told = self._ask(entry, asked)
-            if told is not None and told.counted:
-                return told.wait_s
-            first = not asked.stand_in
-            alone = (first or asked.alone) and self._has_ended(entry)
-            asked = asked._replace(stand_in=True, alone=alone)
+            reply = self._request(entry, request)
+            if reply is not None and reply.counted:
+                return reply.wait_s
+            first = not request.stand_in
+            alone = (first or request.alone) and self._is_known_ended(entry)
+            request = request._replace(stand_in=True, alone=alone)
         raise LimitUnsure
 
     def give_back(self, name: str) -> None:
-        """Tell the home; a word that is lost costs the one request."""
+        """Return a token to the owner.
+
+        The datagram is not acknowledged: if it is lost, the organisation
+        loses that one token.
+        """
         home = self._homes.ranked(name)[0]
-        if home == self._me:
+        if home == self._own_name:
             self._home.give_back(name)
         else:
             self._asker.give_back(home, name)
 
-    def _has_ended(self, entry: str) -> bool:
-        """Tell whether an entry that did not count has ended."""
+    def _is_known_ended(self, entry: str) -> bool:
+        """Return whether ``entry`` is in backoff and known to have exited."""
         if entry not in self._ended:
             return False
-        return self._silent_until.get(entry, 0) > self._clock.monotonic()
+        return self._backoff_until.get(entry, 0) > self._clock.monotonic()
 
-    def _ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
-        if entry == self._me:
-            return self._home.answer(asked)
-        if self._silent_until.get(entry, 0) > self._clock.monotonic():
+    def _request(self, entry: str, request: LimitAsk) -> LimitTold | None:
+        if entry == self._own_name:
+            return self._home.answer(request)
+        if self._backoff_until.get(entry, 0) > self._clock.monotonic():
             return None
-        told = self._asker.ask(entry, asked)
-        if told is None:
-            silent_until = self._clock.monotonic() + SILENT_S
-            self._silent_until[entry] = silent_until
-            self._note_end(entry)
-        return told
+        reply = self._asker.ask(entry, request)
+        if reply is None:
+            backoff_until = self._clock.monotonic() + PEER_BACKOFF_S
+            self._backoff_until[entry] = backoff_until
+            self._record_end(entry)
+        return reply
 
-    def _note_end(self, entry: str) -> None:
-        """Find out whether an entry is silent since it has ended."""
+    def _record_end(self, entry: str) -> None:
+        """Record whether an unresponsive entry's process has exited."""
         if self._asker.has_ended(entry):
             self._ended.add(entry)
         else:
--- a/cactusridge/organisations/homes.py
+++ b/cactusridge/organisations/homes.py
@@ -1,10 +1,11 @@
-"""Which entry counts the requests of which organisation.
-
-An organisation has one home among the entries, by rendezvous hash, so that
-its limit is counted in one place without anything being elected or stored.
-Two entries must not count for the same one at full rate: an entry that has
-just come into the list is nobody's home until all others have read that it
-is there, and one that cannot renew its row counts for nobody.
+"""Assignment of organisations to the entries that count their requests.
+
+Each organisation has one owner among the entries, chosen by rendezvous
+hashing, so that its rate limit is counted in one place without an election
+or stored state. Two entries must not count the same organisation at the
+full rate. Therefore a new entry becomes an owner only after all other
+entries have read it from the membership list, and an entry that cannot
+renew its own row does not count any organisation.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,22 +14,24 @@
 from cactusridge.clock import Clock
 from cactusridge.hashing import hash64, rendezvous
 
-MS = 1000
-# How often it is found out who may be a home, in seconds.
+MS_PER_S = 1000
+# Seconds between two updates of the set of entries that may be owners.
 LOOK_S = 0.5
-# Listed for this long without a gap an entry may be a home, in ms.
+# Milliseconds of uninterrupted membership before an entry may be an owner.
 SETTLE_MS = 3000
-# And counts this much later: the others read the list every second.
-READ_MS = 1500
-# The home, and those who are asked in turn where that does not answer.
-RANKED = 3
+# Further milliseconds before a new owner counts requests. The other entries
+# read the membership list every second and must have seen the change.
+PEER_READ_MS = 1500
+# Number of ranked entries per organisation: the owner and the backup owners,
+# which receive requests in turn when the owner does not respond.
+MAX_RANKED = 3
 
 
 class Candidate(NamedTuple):
-    """An entry that may be a home.
+    """A live entry of the membership list.
 
-    ``since_ms`` is the store's time from which on it has been listed
-    without a gap.
+    ``name`` is its peer address. ``since_ms`` is the store time, in
+    milliseconds, since which it has been a member without interruption.
     """
 
     name: str
@@ -36,59 +39,70 @@
 
 
 class Homes:
-    """The homes of organisations as one entry sees them."""
+    """Owners and backup owners of organisations, as seen by one entry.
+
+    ``changes`` counts how often the set of possible owners has changed.
+    """
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         listed: Callable[[], Sequence[Candidate]],
         now_ms: Callable[[], float],
-        in_touch: Callable[[], bool],
+        is_current: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        """Choose among those ``listed``; ``now_ms`` is the store's time.
+        """Rank the entries that ``listed`` returns.
 
-        ``in_touch`` tells whether this entry's row counts as renewed.
+        ``now_ms`` returns the store time in milliseconds. ``is_current``
+        returns whether this entry has recently read the membership list
+        and renewed its own row.
         """
         self.changes = 0
-        self._me = me
+        self._own_name = own_name
         self._listed = listed
         self._now_ms = now_ms
-        self._in_touch = in_touch
+        self._is_current = is_current
         self._clock = clock
         self._eligible: frozenset[str] = frozenset()
-        self._changed_at = clock.monotonic()
-        self._settled = False
-        # Of the organisations asked about since the last change.
+        self._owners_changed_at = clock.monotonic()
+        self._may_count = False
+        # Ranked entries of the organisations queried since the last change.
         self._ranked: dict[str, list[str]] = {}
 
     def ranked(self, organisation: str) -> list[str]:
-        """Return the home of an organisation and who stand in for it."""
+        """Return the owner of an organisation, then its backup owners.
+
+        The list holds up to MAX_RANKED peer addresses and is empty while
+        no entry may be an owner.
+        """
         if not self._eligible:
             self.look()
         found = self._ranked.get(organisation)
         if found is None:
-            found = rendezvous(self._eligible, hash64(organisation))[:RANKED]
+            found = rendezvous(self._eligible, hash64(organisation))[
+                :MAX_RANKED
+            ]
             self._ranked[organisation] = found
         return found
 
-    def held_s(self, organisation: str) -> float | None:
-        """Return for how long this entry has been the home, at the least.
+    def owned_s(self, organisation: str) -> float | None:
+        """Return how many seconds this entry has certainly been the owner.
 
-        None if it is not, or may not count now.
+        Returns None if this entry is not the owner or may not count now.
         """
-        if self.ranked(organisation)[:1] != [self._me]:
+        if self.ranked(organisation)[:1] != [self._own_name]:
             return None
-        if not (self._settled and self._in_touch()):
+        if not (self._may_count and self._is_current()):
             return None
-        return self._clock.monotonic() - self._changed_at
+        return self._clock.monotonic() - self._owners_changed_at
 
-    def stands_in(self, organisation: str) -> bool:
-        """Tell whether this entry stands in for the home."""
-        return self._me in self.ranked(organisation)[1:]
+    def is_backup(self, organisation: str) -> bool:
+        """Return whether this entry is a backup owner of an organisation."""
+        return self._own_name in self.ranked(organisation)[1:]
 
     def look(self) -> None:
-        """Find out who may be a home now, and whether this entry counts."""
+        """Update the possible owners and whether this entry may count."""
         listed = self._listed()
         settled_ms = _settled_ms(listed, self._now_ms() - SETTLE_MS)
         eligible = frozenset(
@@ -97,20 +111,24 @@
         if eligible != self._eligible:
             self._eligible = eligible
             self._ranked = {}
-            self._changed_at = self._clock.monotonic()
+            self._owners_changed_at = self._clock.monotonic()
             self.changes += 1
-        counts_ms = _settled_ms(listed, self._now_ms() - SETTLE_MS - READ_MS)
-        self._settled = any(
-            each.name == self._me and each.since_ms <= counts_ms
+        counts_ms = _settled_ms(
+            listed, self._now_ms() - SETTLE_MS - PEER_READ_MS
+        )
+        self._may_count = any(
+            each.name == self._own_name and each.since_ms <= counts_ms
             for each in listed
         )
 
 
 def _settled_ms(listed: Sequence[Candidate], at_ms: float) -> float:
-    """Return up to when an entry has to be listed, ``at_ms`` mostly.
+    """Return the latest membership start that counts as settled, in ms.
 
-    Those that came with the first one need not wait: after the loss of
-    all there is nobody who may still count.
+    The result is ``at_ms``, or SETTLE_MS after the oldest member's start if
+    that is later. Members that start together with the oldest one need not
+    wait: after a restart of the whole fleet no earlier owner is left that
+    could still be counting.
     """
     first_ms = min((each.since_ms for each in listed), default=0)
     return max(at_ms, first_ms + SETTLE_MS)
--- a/cactusridge/organisations/key_check.py
+++ b/cactusridge/organisations/key_check.py
@@ -1,4 +1,4 @@
-"""Which organisation a caller's key belongs to."""
+"""Authentication of callers by their API keys."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,35 +11,37 @@
 
 
 class KeyHolder(NamedTuple):
-    """The digest of a caller's key, and who holds it."""
+    """The SHA-256 digest (hex) of a caller's key and its organisation."""
 
     digest: str
     organisation: Organisation
 
 
 class KeyCheck:
-    """Lets callers in by their keys while the keys may be gone by."""
+    """Authenticates callers while this entry's key lease is valid."""
 
     def __init__(
         self,
         lease: KeyLease,
-        behind: Callable[[], bool],
+        maybe_stale: Callable[[], bool],
     ) -> None:
-        """Go by keys while ``lease`` is valid.
+        """Accept keys while ``lease`` is valid.
 
-        ``behind`` tells whether a key that is not known may be a new one.
+        ``maybe_stale`` returns whether this entry's catalog may be out of
+        date, so that an unknown key may be one that was added recently.
         """
         self._lease = lease
-        self._behind = behind
+        self._maybe_stale = maybe_stale
 
     def holder(
         self,
         directory: Directory,
         authorization: str,
     ) -> KeyHolder:
-        """Return whose key this is.
+        """Return the holder of the key in an ``Authorization`` header.
 
-        Raises UnknownKey or KeysUnsure.
+        Raises UnknownKey if the key is missing or not in ``directory``,
+        and KeysUnsure if this entry's copy of the keys may be out of date.
         """
         key = bearer_key(authorization)
         if key is None:
@@ -47,13 +49,15 @@
         self.check_lease()
         digest = key_digest(key)
         found = directory.by_digest(digest)
-        if found is None and self._behind():
-            raise KeysUnsure('the key may be newer than what is known here')
+        if found is None and self._maybe_stale():
+            raise KeysUnsure(
+                "the key may be newer than this entry's copy of the keys",
+            )
         if found is None:
             raise UnknownKey('the key is unknown')
         return KeyHolder(digest, found)
 
     def check_lease(self) -> None:
-        """Return if the keys may be gone by, else raise KeysUnsure."""
+        """Raise KeysUnsure unless the key lease is valid."""
         if not self._lease.valid:
             raise KeysUnsure
--- a/cactusridge/organisations/key_lease.py
+++ b/cactusridge/organisations/key_lease.py
@@ -1,69 +1,86 @@
-"""Until when an entry may go by the keys that it knows.
+"""Lease that limits how long an entry may use its copy of the API keys.
 
-A key that was taken away opens nothing any more after a bounded time, at
-no entry, whether it can reach the store or not. So what an entry knows of
-keys is a lease, renewed by each read of the store, its own or a peer's, and
-as old as that.
+A revoked key must stop working within a bounded time at every entry, even
+at one that cannot reach the store. An entry therefore holds its copy of the
+keys under a lease. Each read of the store, by this entry or by a peer,
+renews the lease from the time at which that read started.
 """
 
 from cactusridge.clock import Clock
 from cactusridge.store.table_follower import REREAD_S
 
-# The lease ends this much sooner, in seconds: clocks run unevenly, and a
-# request is sent on a moment after it was looked at.
+# Seconds by which the lease expires early. Clocks run at slightly different
+# rates, and a request is forwarded a moment after its key was checked.
 MARGIN_S = 0.2
-# A watch may hear nothing for about a second while the store drops its
-# history; a quiet answer vouches only for what was before that.
-DEAF_S = 1.2
-# How often everything is read again where keys are leased, in seconds.
+# Seconds for which a watch may miss changes. It receives none for about a
+# second while the store truncates its history, so a response to a watch
+# confirms only the state before that interval.
+WATCH_GAP_S = 1.2
+# Seconds between two full reads of the catalog when the lease can expire.
 LEASED_REREAD_S = 3.0
 
 
 class KeyLease:
-    """Knows since when the configuration is confirmed to be the newest.
+    """Tracks when the catalog was last confirmed to be the newest version.
 
-    That is the moment at which a read of it was begun: what was changed
-    later may be missing in it. The clock has to be one that goes on while
-    the host is suspended.
+    ``confirmed_at`` is the clock time at which the confirming read started,
+    since a change made later may be missing from its result; it is None
+    before the first read. The clock must keep running while the host is
+    suspended.
     """
 
-    def __init__(self, clock: Clock, lasts_s: float | None) -> None:
-        """Hold for ``lasts_s`` seconds; None: for ever, once read."""
+    def __init__(self, clock: Clock, duration_s: float | None) -> None:
+        """Create a lease of ``duration_s`` seconds.
+
+        With None the lease never expires after the first read.
+        """
         self._clock = clock
-        self._lasts_s = lasts_s
+        self._duration_s = duration_s
         self.confirmed_at: float | None = None
 
     @property
     def reread_s(self) -> float:
-        """How often everything is to be read again, in seconds."""
-        return REREAD_S if self._lasts_s is None else LEASED_REREAD_S
+        """Seconds between two full reads of the catalog."""
+        return REREAD_S if self._duration_s is None else LEASED_REREAD_S
+
+    def read(self, started_at: float) -> None:
+        """Renew the lease after a read of the catalog.
 
-    def read(self, begun_at: float) -> None:
-        """Note that the configuration was read from the store."""
-        self._confirm(begun_at)
+        ``started_at`` is the time at which the read was started, by this
+        entry or by a peer.
+        """
+        self._confirm(started_at)
 
-    def quiet(self, asked_at: float) -> None:
-        """Note that a watch on the configuration was answered."""
+    def quiet(self, started_at: float) -> None:
+        """Renew the lease after a response to a watch on the catalog.
+
+        ``started_at`` is the time at which the watch request was sent. The
+        response confirms the catalog only up to WATCH_GAP_S before that,
+        and nothing if the catalog has not been read yet.
+        """
         if self.confirmed_at is not None:
-            self._confirm(asked_at - DEAF_S)
+            self._confirm(started_at - WATCH_GAP_S)
 
     @property
     def valid(self) -> bool:
-        """Whether the keys that are known may be gone by."""
+        """Whether this entry may still use its copy of the keys."""
         if self.confirmed_at is None:
             return False
-        if self._lasts_s is None:
+        if self._duration_s is None:
             return True
         age_s = self._clock.monotonic() - self.confirmed_at
-        return age_s < self._lasts_s - MARGIN_S
+        return age_s < self._duration_s - MARGIN_S
 
     @property
     def bounded(self) -> bool:
-        """Whether what is known ceases to count."""
-        return self._lasts_s is not None
+        """Whether the lease can expire."""
+        return self._duration_s is not None
 
     def older_than(self, age_s: float) -> bool:
-        """Tell whether what was read once was confirmed longer ago."""
+        """Return whether the last confirmation is over ``age_s`` ago.
+
+        Returns False if the catalog has not been read yet.
+        """
         if self.confirmed_at is None:
             return False
         return self._clock.monotonic() - self.confirmed_at > age_s
--- a/cactusridge/organisations/key_source.py
+++ b/cactusridge/organisations/key_source.py
@@ -1,19 +1,23 @@
-"""Since when what an entry knows of keys is confirmed."""
+"""Interface through which an entry reports its confirmed keys to peers."""
 
 import abc
 from typing import NamedTuple
 
 
 class KeysConfirmed(NamedTuple):
-    """That a configuration was the newest ``at`` a moment, or later."""
+    """Confirmation that a catalog version was the newest at some time.
+
+    ``at`` is that time in seconds of this process's clock; the version may
+    still have been the newest later.
+    """
 
     version: int
     at: float
 
 
 class KeySource(abc.ABC):
-    """Tells what an entry has, for others that lost the store."""
+    """Supplies an entry's confirmation to peers that cannot read the store."""
 
     @abc.abstractmethod
     def confirmed(self) -> KeysConfirmed | None:
-        """Return since when what is known here is confirmed, if it is."""
+        """Return the last confirmation, or None without a valid lease."""
--- a/cactusridge/organisations/limit_ask.py
+++ b/cactusridge/organisations/limit_ask.py
@@ -1,4 +1,4 @@
-"""What entries ask each other about the limits of organisations."""
+"""Messages by which entries count organisations' requests at the owner."""
 
 import abc
 from typing import NamedTuple
@@ -7,11 +7,12 @@
 
 
 class LimitAsk(NamedTuple):
-    """May one more request of an organisation be run?
+    """Request to count one call of the organisation ``name``.
 
-    ``version`` is that of the configuration with ``limit``; a
-    ``stand_in`` is asked where the home does not answer. ``alone`` says
-    that the processes of all asked before it have ended for certain.
+    ``version`` is the catalog version that contains ``limit``. ``stand_in``
+    is set if the receiver should count as a backup owner, because the owner
+    did not respond. ``alone`` is set if the processes of all entries
+    that were tried before are known to have exited.
     """
 
     name: str
@@ -22,10 +23,11 @@
 
 
 class LimitTold(NamedTuple):
-    """An answer: the seconds until the request may be run, 0 for now.
+    """Response to LimitAsk.
 
-    One that is not ``counted`` says that the entry does not count for
-    this organisation.
+    ``wait_s`` is the number of seconds until the call may run, 0 if it may
+    run now. ``counted`` is False if the responding entry does not count
+    this organisation; ``wait_s`` has no meaning then.
     """
 
     counted: bool
@@ -33,9 +35,9 @@
 
 
 class LimitCopy(NamedTuple):
-    """How many ``tokens`` the home of an organisation has left.
+    """Copy of the ``tokens`` that an organisation's owner has left.
 
-    ``version`` is that of the configuration with ``limit``.
+    ``version`` is the catalog version that contains ``limit``.
     """
 
     name: str
@@ -48,19 +50,20 @@
 
 
 class Asker(abc.ABC):
-    """Asks other entries."""
+    """Sends limit requests to other entries."""
 
     @abc.abstractmethod
     def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
-        """Return the answer of ``entry``; None if there is none in time."""
+        """Return the response of ``entry``, or None after a timeout."""
 
     @abc.abstractmethod
     def has_ended(self, entry: str) -> bool:
-        """Tell whether the process of a silent entry has ended for certain.
+        """Return whether an unresponsive entry's process has surely exited.
 
-        One that is cut off, or whose host has no power, may live.
+        Returns False for an entry that is unreachable or whose host is
+        powered off, because its process may still be running.
         """
 
     @abc.abstractmethod
     def give_back(self, entry: str, name: str) -> None:
-        """Tell ``entry`` that a request it counted has not run."""
+        """Notify ``entry`` that a request it counted has not run."""
--- a/cactusridge/organisations/limit_home.py
+++ b/cactusridge/organisations/limit_home.py
@@ -1,4 +1,4 @@
-"""Counts the requests of the organisations whose home an entry is."""
+"""Counts requests of organisations at their owner and backup owners."""
 
 from collections.abc import Callable
 
@@ -13,146 +13,160 @@
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
 
-# Requests beyond the burst that a home lets pass: they arrive in another
-# order and at another pace than they were sent.
-TOLERANCE = 5
-# What a home that has just taken over begins with beside these, in seconds
-# at the rate of the limit.
-TAKEN_OVER_S = 0.25
-# What somebody who stands in may let pass while the home may live: so many
-# requests at once, and this share of the rate.
-STAND_IN_BURST = 4
-STAND_IN_SHARE = 0.02
+# Requests that an owner admits beyond the burst of a limit, because requests
+# arrive in another order and at another pace than callers sent them.
+BURST_TOLERANCE = 5
+# Tokens that a new owner starts with, in addition to BURST_TOLERANCE: the
+# number of seconds at the limit's rate.
+TAKEOVER_START_S = 0.25
+# What a backup owner admits while the owner may still be running: this many
+# requests at once, and this share of the limit's rate.
+BACKUP_BURST = 4
+BACKUP_RATE_SHARE = 0.02
 
 
 class _Count:
-    """A bucket, and the version of the configuration it follows."""
+    """A token bucket and the catalog version that its limit is from."""
 
     def __init__(self, bucket: TokenBucket, version: int) -> None:
-        """Follow the limit of ``version``."""
+        """Wrap ``bucket``, whose limit is from catalog ``version``."""
         self.bucket = bucket
         self.version = version
 
 
 class LimitHome:
-    """Answers what other entries, and this one, ask about limits.
-
-    What is left after each request is told to who stand in for the home.
-    They go on from that once it has ended for certain, or is out of the
-    list; until then it may count where they cannot reach it, and they let
-    few pass. A home that takes over without a copy starts with few too:
-    what was let pass before is not known, and at the rate of the limit
-    both together stay under it.
+    """Counts requests that this entry and others send to it for counting.
+
+    After each request the owner sends the remaining tokens to the backup
+    owners. A backup owner continues from that copy once the owner's process
+    is known to have exited or the owner has left the membership list. Until
+    then the owner may still be counting for entries that the backup owner
+    cannot reach, so the backup owner admits only a few requests. A new owner
+    without a copy also starts with few tokens, because it does not know what
+    the previous owner admitted; so the two together stay within the limit.
     """
 
     def __init__(self, homes: Homes, clock: Clock) -> None:
-        """Count for those whose home this entry is by ``homes``."""
+        """Count organisations that ``homes`` assigns to this entry."""
         self._homes = homes
         self._clock = clock
         self._changes = homes.changes
-        self._held: dict[str, _Count] = {}
-        self._copies: dict[str, _Count] = {}
-        self._stood_in: dict[str, _Count] = {}
-        self._on_counted: Callable[[LimitCopy], None] | None = None
+        self._owned_counts: dict[str, _Count] = {}
+        self._backup_copies: dict[str, _Count] = {}
+        self._backup_counts: dict[str, _Count] = {}
+        self._counted_listener: Callable[[LimitCopy], None] | None = None
 
     def on_counted(self, listener: Callable[[LimitCopy], None]) -> None:
-        """Call ``listener`` with what is left after each request."""
-        self._on_counted = listener
+        """Call ``listener`` with the remaining tokens after each request.
+
+        Only requests that this entry counts as the owner are reported.
+        """
+        self._counted_listener = listener
 
     def answer(self, asked: LimitAsk) -> LimitTold:
-        """Count a request that is asked about, if it is counted here."""
-        self._forget_others()
-        held_s = self._homes.held_s(asked.name)
-        if held_s is not None:
-            return self._count(asked, held_s)
+        """Count a request if this entry is the owner or a backup owner.
+
+        Otherwise the response has ``counted`` set to False.
+        """
+        self._drop_foreign_counts()
+        owned_s = self._homes.owned_s(asked.name)
+        if owned_s is not None:
+            return self._count_as_owner(asked, owned_s)
         if asked.stand_in:
-            return self._stand_in(asked)
+            return self._count_as_backup(asked)
         return NOT_COUNTED
 
     def give_back(self, name: str) -> None:
-        """Take back a request that has not run."""
-        found = self._held.get(name)
+        """Return the token of a request that has not run."""
+        found = self._owned_counts.get(name)
         if found is not None:
             found.bucket.put_back()
 
     def copied(self, copy: LimitCopy) -> None:
-        """Take what the home of an organisation has left."""
-        self._forget_others()
-        if not self._homes.stands_in(copy.name):
+        """Store the owner's remaining tokens if this is a backup owner."""
+        self._drop_foreign_counts()
+        if not self._homes.is_backup(copy.name):
             return
         now = self._clock.monotonic()
-        limit = _tolerant(copy.limit)
-        known = self._copies.get(copy.name)
+        limit = _with_tolerance(copy.limit)
+        known = self._backup_copies.get(copy.name)
         if known is None:
             bucket = TokenBucket(limit, copy.tokens, now)
-            self._copies[copy.name] = _Count(bucket, copy.version)
+            self._backup_copies[copy.name] = _Count(bucket, copy.version)
             return
-        _follow(known, limit, copy.version, now)
+        _apply_version(known, limit, copy.version, now)
         known.bucket.lower_to(copy.tokens, now)
 
-    def _count(self, asked: LimitAsk, held_s: float) -> LimitTold:
-        """Count as the home."""
+    def _count_as_owner(self, asked: LimitAsk, owned_s: float) -> LimitTold:
+        """Count a request as the owner.
+
+        ``owned_s`` is the number of seconds since this entry became owner.
+        """
         now = self._clock.monotonic()
-        limit = _tolerant(asked.limit)
-        found = self._held.get(asked.name)
+        limit = _with_tolerance(asked.limit)
+        found = self._owned_counts.get(asked.name)
         if found is None:
-            found = self._copies.pop(asked.name, None)
+            found = self._backup_copies.pop(asked.name, None)
         if found is None:
-            first = TOLERANCE + limit.rate_per_s * (TAKEN_OVER_S + held_s)
+            first = BURST_TOLERANCE + limit.rate_per_s * (
+                TAKEOVER_START_S + owned_s
+            )
             bucket = TokenBucket(limit, min(limit.burst, first), now)
             found = _Count(bucket, asked.version)
-        self._held[asked.name] = found
-        _follow(found, limit, asked.version, now)
+        self._owned_counts[asked.name] = found
+        _apply_version(found, limit, asked.version, now)
         wait_s = found.bucket.take(now)
-        if self._on_counted is not None:
+        if self._counted_listener is not None:
             tokens = found.bucket.tokens
             copy = LimitCopy(asked.name, asked.limit, asked.version, tokens)
-            self._on_counted(copy)
+            self._counted_listener(copy)
         return LimitTold(counted=True, wait_s=wait_s)
 
-    def _stand_in(self, asked: LimitAsk) -> LimitTold:
-        """Count for a home that does not answer."""
+    def _count_as_backup(self, asked: LimitAsk) -> LimitTold:
+        """Count a request as a backup owner of an unresponsive owner."""
         now = self._clock.monotonic()
-        found = self._copies.get(asked.name) if asked.alone else None
-        limit = _tolerant(asked.limit)
+        found = self._backup_copies.get(asked.name) if asked.alone else None
+        limit = _with_tolerance(asked.limit)
         if found is None:
-            found = self._stood_in.get(asked.name)
-            limit = _stood_in(asked.limit)
+            found = self._backup_counts.get(asked.name)
+            limit = _backup_limit(asked.limit)
         if found is None:
             bucket = TokenBucket(limit, limit.burst, now)
             found = _Count(bucket, asked.version)
-            self._stood_in[asked.name] = found
-        _follow(found, limit, asked.version, now)
+            self._backup_counts[asked.name] = found
+        _apply_version(found, limit, asked.version, now)
         return LimitTold(counted=True, wait_s=found.bucket.take(now))
 
-    def _forget_others(self) -> None:
-        """Forget the counts that are another entry's now."""
+    def _drop_foreign_counts(self) -> None:
+        """Drop counts of organisations that moved to other entries."""
         if self._homes.changes == self._changes:
             return
         self._changes = self._homes.changes
-        for name in list(self._held):
-            if self._homes.held_s(name) is None:
-                self._held.pop(name)
-        for copied in list(self._copies):
-            if not self._is_near(copied):
-                self._copies.pop(copied)
-
-    def _is_near(self, name: str) -> bool:
-        """Tell whether this entry is the home or stands in for it."""
-        is_home = self._homes.held_s(name) is not None
-        return is_home or self._homes.stands_in(name)
-
-
-def _follow(count: _Count, limit: RateLimit, version: int, now: float) -> None:
-    """Go by the limit of a newer version of the configuration."""
+        for name in list(self._owned_counts):
+            if self._homes.owned_s(name) is None:
+                self._owned_counts.pop(name)
+        for copied in list(self._backup_copies):
+            if not self._is_owner_or_backup(copied):
+                self._backup_copies.pop(copied)
+
+    def _is_owner_or_backup(self, name: str) -> bool:
+        """Return whether this entry counts ``name`` as owner or backup."""
+        is_owner = self._homes.owned_s(name) is not None
+        return is_owner or self._homes.is_backup(name)
+
+
+def _apply_version(
+    count: _Count, limit: RateLimit, version: int, now: float
+) -> None:
+    """Switch ``count`` to ``limit`` if ``version`` is newer."""
     if version > count.version:
         count.version = version
         count.bucket.change(limit, now)
 
 
-def _tolerant(limit: RateLimit) -> RateLimit:
-    return limit._replace(burst=limit.burst + TOLERANCE)
+def _with_tolerance(limit: RateLimit) -> RateLimit:
+    return limit._replace(burst=limit.burst + BURST_TOLERANCE)
 
 
-def _stood_in(limit: RateLimit) -> RateLimit:
-    return RateLimit(limit.rate_per_s * STAND_IN_SHARE, STAND_IN_BURST)
+def _backup_limit(limit: RateLimit) -> RateLimit:
+    return RateLimit(limit.rate_per_s * BACKUP_RATE_SHARE, BACKUP_BURST)
--- a/cactusridge/organisations/limiter.py
+++ b/cactusridge/organisations/limiter.py
@@ -1,7 +1,8 @@
-"""Keeps organisations to their limits, over all entries together.
+"""Rate limiters that apply an organisation's limit across all entries.
 
-Answers an organisation that sends many times what it may, to any entries,
-beside others that send a request a second to one of many.
+A limiter must handle both an organisation that sends many times its limit
+to any number of entries and one that sends about one request per second to
+a single entry of many.
 """
 
 import abc
@@ -12,54 +13,57 @@
 from cactusridge.organisations.organisation import Organisation, RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
 
-# Waits below this many seconds are told as this.
+# Smallest retry_after_s, in seconds, of an OverLimit error.
 MIN_RETRY_S = 0.1
 
 
 class Limiter(abc.ABC):
-    """Says whether an organisation may have one more request run."""
+    """Decides whether one more request of an organisation may run."""
 
     def check(self, organisation: Organisation, version: int) -> None:
-        """Count a request; raise OverLimit or LimitUnsure.
+        """Count a request of ``organisation``.
 
-        ``version`` is that of the configuration with its limit.
+        ``version`` is the catalog version that contains its limit. Raises
+        OverLimit if the limit is exceeded, and LimitUnsure if no entry
+        that counts the organisation could be reached.
         """
         if organisation.limit is None:
             return
         wait_s = self.take(organisation.name, organisation.limit, version)
         if wait_s:
             raise OverLimit(
-                f'{organisation.name} is over its limit',
+                f'{organisation.name} has exceeded its rate limit',
                 retry_after_s=max(MIN_RETRY_S, wait_s),
             )
 
     @abc.abstractmethod
     def give_back(self, name: str) -> None:
-        """Take back the count of a request that has not run."""
+        """Return the token of a request that has not run."""
 
     @abc.abstractmethod
     def take(self, name: str, limit: RateLimit, version: int) -> float:
-        """Count a request; return 0, or the seconds until one may come.
+        """Take a token for one request of the organisation ``name``.
 
-        Raises LimitUnsure.
+        Returns 0 if the request may run, else the seconds until the next
+        token is available. Raises LimitUnsure.
         """
 
 
 class FixedShares(Limiter):
-    """Naive: each entry has an equal share of every limit.
+    """Naive limiter: each entry has an equal share of every limit.
 
-    Callers come unevenly, so much is refused that is within the limit, most
-    of all where a share is less than one request.
+    Callers are spread unevenly over entries, so many requests within the
+    limit are rejected, most of all when a share is less than one request.
     """
 
     def __init__(self, entries: Callable[[], int], clock: Clock) -> None:
-        """Divide by the number of ``entries``."""
+        """Divide each limit by the number that ``entries`` returns."""
         self._entries = entries
         self._clock = clock
         self._buckets: dict[str, TokenBucket] = {}
 
     def take(self, name: str, limit: RateLimit, version: int) -> float:
-        """Take a token of this entry's share."""
+        """Take a token from this entry's share of the limit."""
         now = self._clock.monotonic()
         entries = max(1, self._entries())
         share = RateLimit(limit.rate_per_s / entries, limit.burst / entries)
@@ -72,16 +76,16 @@
         return bucket.take(now)
 
     def give_back(self, name: str) -> None:
-        """Put the token back."""
+        """Return a token to this entry's share."""
         self._buckets[name].put_back()
 
 
 class NoLimits(Limiter):
-    """Naive: everybody may send everything."""
+    """Naive limiter: no request is ever rejected."""
 
     def take(self, name: str, limit: RateLimit, version: int) -> float:
-        """Let it pass."""
+        """Admit the request without counting it."""
         return 0
 
     def give_back(self, name: str) -> None:
-        """Nothing was counted."""
+        """Do nothing, since no request is counted."""
--- a/cactusridge/organisations/organisation.py
+++ b/cactusridge/organisations/organisation.py
@@ -1,13 +1,13 @@
-"""An organisation, and how much it may send."""
+"""An organisation and its rate limit."""
 
 from typing import NamedTuple
 
 
 class RateLimit(NamedTuple):
-    """Requests of one organisation over all entries together.
+    """Rate limit of an organisation's requests across all entries.
 
-    ``rate_per_s`` is what it may send in the long run, ``burst`` how many
-    requests more at once.
+    ``rate_per_s`` is the sustained rate in requests per second, ``burst``
+    the number of further requests allowed at once.
     """
 
     rate_per_s: float
@@ -15,10 +15,11 @@
 
 
 class Organisation(NamedTuple):
-    """One organisation as the configuration has it.
+    """An organisation as defined in the catalog.
 
-    Its ``priority`` goes before that of a route; None: it has none.
-    Without a ``limit`` it may send as much as it likes.
+    ``priority`` takes precedence over that of a route; with None the
+    route's priority applies. With a ``limit`` of None the organisation's
+    requests are not limited.
     """
 
     name: str
--- a/cactusridge/organisations/permit.py
+++ b/cactusridge/organisations/permit.py
@@ -1,4 +1,4 @@
-"""Leave to run one request, looked at each time that it is sent."""
+"""Permits for single requests, checked before each attempt is sent."""
 
 import abc
 from collections.abc import Callable
@@ -11,39 +11,42 @@
 
 
 class Permit(abc.ABC):
-    """Says whether a caller's request may be sent now."""
+    """Decides whether a caller's request may be sent now."""
 
     @abc.abstractmethod
     def check(self) -> None:
-        """Return if it may be sent; raise UnknownKey or KeysUnsure."""
+        """Raise UnknownKey or KeysUnsure unless the request may be sent."""
 
     @abc.abstractmethod
     def count(self) -> None:
-        """Count it against a limit; raise OverLimit or LimitUnsure."""
+        """Count the request against its organisation's rate limit.
+
+        Raises OverLimit or LimitUnsure.
+        """
 
     @abc.abstractmethod
     def give_back(self) -> None:
-        """Undo the count: the request has not run and never will."""
+        """Undo the count of a request that has not run and never will."""
 
 
 class Open(Permit):
-    """For requests that need no key."""
+    """Permit for requests that need no API key; allows every request."""
 
     def check(self) -> None:
-        """Let it pass."""
+        """Allow the request."""
 
     def count(self) -> None:
-        """Count nothing."""
+        """Do nothing, since no rate limit applies."""
 
     def give_back(self) -> None:
-        """Nothing was counted."""
+        """Do nothing, since the request was not counted."""
 
 
 OPEN: Final = Open()
 
 
 class KeyPermit(Permit):
-    """For a request of an organisation."""
+    """Permit for one request that was authenticated by an API key."""
 
     def __init__(
         self,
@@ -53,9 +56,11 @@
         limiter: Limiter,
         version: int,
     ) -> None:
-        """Go by the ``directory`` in force at each sending.
+        """Create a permit for a request of ``holder``.
 
-        ``version`` is that of the configuration with the limit.
+        ``directory`` returns the directory in force, against which the key
+        is checked again before each attempt. ``version`` is the catalog
+        version that contains the organisation's rate limit.
         """
         self._digest = holder.digest
         self._organisation = holder.organisation
@@ -66,26 +71,34 @@
         self._counted = False
 
     def check(self) -> None:
-        """Return if the key still opens what it did."""
+        """Raise UnknownKey or KeysUnsure unless the key is still valid.
+
+        The key must still belong to the organisation that the request was
+        authenticated for.
+        """
         self._keys.check_lease()
         directory = self._directory()
         if directory is None:
             return
         found = directory.by_digest(self._digest)
         if found is None or found.name != self._organisation.name:
-            raise UnknownKey('the key was taken away')
+            raise UnknownKey('the key has been revoked')
 
     def count(self) -> None:
-        """Count the request once, however often it is sent."""
+        """Count the request once, however many attempts are sent.
+
+        Raises OverLimit, LimitUnsure, UnknownKey or KeysUnsure.
+        """
         if self._counted:
             return
         self._limiter.check(self._organisation, self._version)
         self._counted = True
-        # Asking takes a moment, in which the host may be suspended.
+        # The key is checked again, because the host may have been suspended
+        # while the request to the limiter was pending.
         self.check()
 
     def give_back(self) -> None:
-        """Take the count back if there is one."""
+        """Undo the count if the request was counted against a limit."""
         if self._counted and self._organisation.limit is not None:
             self._limiter.give_back(self._organisation.name)
         self._counted = False
--- a/cactusridge/organisations/policies.py
+++ b/cactusridge/organisations/policies.py
@@ -1,4 +1,4 @@
-"""The limiters by the names that start settings have for them."""
+"""Limiter classes by their names in the start settings."""
 
 from types import MappingProxyType
 
--- a/cactusridge/organisations/token_bucket.py
+++ b/cactusridge/organisations/token_bucket.py
@@ -1,19 +1,26 @@
-"""A limit on average with room for bursts."""
+"""Token bucket: limits the average rate and allows bursts."""
 
 from cactusridge.organisations.organisation import RateLimit
 
 
 class TokenBucket:
-    """Fills at the rate of a limit, up to its burst; a request takes one."""
+    """Token bucket that refills at a limit's rate, up to its burst.
+
+    Each request takes one token.
+    """
 
     def __init__(self, limit: RateLimit, tokens: float, now: float) -> None:
-        """Start with ``tokens`` at ``now``, in seconds."""
+        """Start with ``tokens`` tokens at the clock time ``now`` (seconds)."""
         self.limit = limit
         self.tokens = tokens
         self._filled_at = now
 
     def take(self, now: float) -> float:
-        """Take a token; return 0, or the seconds until there is one."""
+        """Take a token at the clock time ``now``.
+
+        Returns 0 if a token was taken, else the seconds until one is
+        available (infinity if the rate is 0).
+        """
         self._fill(now)
         if self.tokens >= 1:
             self.tokens -= 1
@@ -23,16 +30,16 @@
         return (1 - self.tokens) / self.limit.rate_per_s
 
     def lower_to(self, tokens: float, now: float) -> None:
-        """Have no more than ``tokens`` at ``now``."""
+        """Reduce the bucket to at most ``tokens`` at ``now``."""
         self._fill(now)
         self.tokens = min(self.tokens, tokens)
 
     def put_back(self) -> None:
-        """Put back a token that was taken for nothing."""
+        """Return the token of a request that has not run."""
         self.tokens += 1
 
     def change(self, limit: RateLimit, now: float) -> None:
-        """Fill by another limit from now on."""
+        """Refill by ``limit`` from ``now`` on, and cap at its burst."""
         self._fill(now)
         self.limit = limit
         self.tokens = min(self.tokens, limit.burst)
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from cactusridge.clock import ManualClock
-from cactusridge.organisations.homes import LOOK_S, MS, Candidate, Homes
+from cactusridge.organisations.homes import LOOK_S, MS_PER_S, Candidate, Homes
 from cactusridge.organisations.limit_ask import LimitCopy
 from cactusridge.organisations.limit_home import LimitHome
 from cactusridge.organisations.limiter import Limiter
@@ -62,8 +62,8 @@
         self.homes = Homes(
             self.name,
             self.listed,
-            lambda: clock.monotonic() * MS,
-            self.in_touch,
+            lambda: clock.monotonic() * MS_PER_S,
+            self.is_current,
             clock,
         )
         self.home = LimitHome(self.homes, clock)
@@ -80,7 +80,7 @@
         """Tell whether a datagram gets there."""
         return other.alive and self.side == other.side
 
-    def in_touch(self) -> bool:
+    def is_current(self) -> bool:
         """Tell whether the row counts as renewed."""
         return self.fleet.clock.now - self.renewed < RENEWED_S
 
@@ -105,7 +105,7 @@
         # What cannot be read ends nobody.
         read_at = self.read_at - READ_S
         return [
-            Candidate(name, int(since * MS))
+            Candidate(name, int(since * MS_PER_S))
             for name, (since, _, changed) in self.seen.items()
             if read_at - changed < LEASE_S or name == self.name
         ]
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -9,7 +9,7 @@
 from cactusridge.organisations.directory import Directory, Holder
 from cactusridge.organisations.errors import KeysUnsure, UnknownKey
 from cactusridge.organisations.key_check import KeyCheck
-from cactusridge.organisations.key_lease import DEAF_S, MARGIN_S, KeyLease
+from cactusridge.organisations.key_lease import WATCH_GAP_S, MARGIN_S, KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.organisations.keys import bearer_key, key_digest
 from cactusridge.organisations.organisation import Organisation
@@ -45,7 +45,7 @@
         self.lease.read(50)
         self.assertEqual(valid, self.lease.valid)
 
-    @params((4.7 - DEAF_S, True), (4.9 - DEAF_S, False))
+    @params((4.7 - WATCH_GAP_S, True), (4.9 - WATCH_GAP_S, False))
     def test_quiet_watch(self, after_s, valid):
         """It may have been deaf for a while."""
         self.lease.read(40)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,16 +9,16 @@
 from cactusridge.clock import ManualClock
 from cactusridge.organisations.errors import OverLimit
 from cactusridge.organisations.homes import (
-    MS,
-    READ_MS,
+    MS_PER_S,
+    PEER_READ_MS,
     SETTLE_MS,
     Candidate,
     Homes,
 )
 from cactusridge.organisations.limit_ask import LimitAsk
 from cactusridge.organisations.limit_home import (
-    STAND_IN_BURST,
-    TOLERANCE,
+    BACKUP_BURST,
+    BURST_TOLERANCE,
     LimitHome,
 )
 from cactusridge.organisations.limiter import FixedShares, NoLimits
@@ -96,26 +96,26 @@
     def setUp(self):
         """Let two entries be listed for long."""
         self.clock = ManualClock(100)
-        self.in_touch = True
+        self.is_current = True
         self.listed = [Candidate('a:1', 0), Candidate('b:1', 0)]
 
-    def homes(self, me='a:1'):
+    def homes(self, own_name='a:1'):
         """Return the homes as ``me`` sees them."""
         found = Homes(
-            me,
+            own_name,
             lambda: self.listed,
-            lambda: self.clock.now * MS,
-            lambda: self.in_touch,
+            lambda: self.clock.now * MS_PER_S,
+            lambda: self.is_current,
             self.clock,
         )
         found.look()
         return found
 
-    def held(self, me):
+    def held(self, own_name):
         """Return the organisations whose home an entry is."""
-        homes = self.homes(me)
+        homes = self.homes(own_name)
         names = [f'o{number}' for number in range(40)]
-        return {each for each in names if homes.held_s(each) is not None}
+        return {each for each in names if homes.owned_s(each) is not None}
 
     def test_one_home_each(self):
         """Every organisation has one."""
@@ -125,25 +125,25 @@
 
     def test_without_the_store(self):
         """An entry that cannot renew its row counts for nobody."""
-        self.in_touch = False
+        self.is_current = False
         self.assertFalse(self.held('a:1'))
 
     def test_newcomer(self):
         """It counts only once all others have read that it is there."""
         before = self.held('a:1')
-        since_ms = int(self.clock.now * MS)
+        since_ms = int(self.clock.now * MS_PER_S)
         self.listed.append(Candidate('c:1', since_ms))
         self.assertEqual(before, self.held('a:1'))
         self.assertFalse(self.held('c:1'))
-        self.clock.advance((SETTLE_MS + 1) / MS)
+        self.clock.advance((SETTLE_MS + 1) / MS_PER_S)
         self.assertLess(self.held('a:1'), before)
         self.assertFalse(self.held('c:1'))
-        self.clock.advance(READ_MS / MS)
+        self.clock.advance(PEER_READ_MS / MS_PER_S)
         self.assertTrue(self.held('c:1'))
 
     def test_all_are_new(self):
         """After the loss of all nobody waits."""
-        now_ms = int(self.clock.now * MS)
+        now_ms = int(self.clock.now * MS_PER_S)
         self.listed = [Candidate(each, now_ms) for each in ('a:1', 'b:1')]
         self.assertEqual(40, len(self.held('a:1') | self.held('b:1')))
 
@@ -153,7 +153,7 @@
         name = next(iter(self.held('a:1')))
         asked = ASKED._replace(name=name)
         passed = [not home.answer(asked).wait_s for _ in range(40)]
-        self.assertLess(sum(passed), TOLERANCE + LIMIT.burst / 2)
+        self.assertLess(sum(passed), BURST_TOLERANCE + LIMIT.burst / 2)
 
     def test_stand_in_goes_on(self):
         """It has what the home had left once that has ended for certain.
@@ -169,11 +169,11 @@
             self.assertEqual(0, home.answer(asked).wait_s)
         stood_in = asked._replace(stand_in=True)
         passed = [not other.answer(stood_in).wait_s for _ in range(40)]
-        self.assertEqual(STAND_IN_BURST, sum(passed))
+        self.assertEqual(BACKUP_BURST, sum(passed))
         stood_in = stood_in._replace(alone=True)
         self.assertFalse(other.answer(asked).counted)
         passed = [not other.answer(stood_in).wait_s for _ in range(40)]
-        self.assertEqual(LIMIT.burst + TOLERANCE - 8, sum(passed))
+        self.assertEqual(LIMIT.burst + BURST_TOLERANCE - 8, sum(passed))
         self.listed = [Candidate('b:1', 0)]
         two.look()
         self.assertTrue(other.answer(asked).wait_s)
@@ -186,7 +186,7 @@
         home.answer(asked)
         lower = asked._replace(limit=RateLimit(1, 1), version=2)
         passed = [not home.answer(lower).wait_s for _ in range(20)]
-        self.assertEqual(1 + TOLERANCE, sum(passed))
+        self.assertEqual(1 + BURST_TOLERANCE, sum(passed))
 
 
 class TestLimiters(unittest.TestCase):
@@ -232,13 +232,13 @@
         listed = [Candidate('127.0.0.1:9', 0)]
         homes = [
             Homes(
-                me,
+                own_name,
                 lambda: listed,
-                lambda: self.clock.now * MS,
+                lambda: self.clock.now * MS_PER_S,
                 lambda: True,
                 self.clock,
             )
-            for me in ('127.0.0.1:8', '127.0.0.1:9')
+            for own_name in ('127.0.0.1:8', '127.0.0.1:9')
         ]
         questions = [
             LimitQuestions(wire, LimitHome(each, self.clock), each)
