--- a/cactusridge/batch/__init__.py
+++ b/cactusridge/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: files, acceptance, leases, items, results."""
+"""Batch jobs: input files, acceptance, span leases, items and results."""
--- a/cactusridge/batch/accounts.py
+++ b/cactusridge/batch/accounts.py
@@ -1,4 +1,4 @@
-"""Counts batch items against the objectives: due time, exactly once."""
+"""Records batch items against two objectives: due time and exactly once."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class BatchAccounts:
-    """Told of commits and closed spans; audits a share of the latter."""
+    """Records the items of committed chunks and audits some closed spans."""
 
     def __init__(
         self,
@@ -23,7 +23,10 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Record with ``recorder``; read ``audit_share`` of the spans."""
+        """Record with ``recorder`` and audit closed spans at random.
+
+        ``audit_share`` is the probability (0 to 1) that a span is audited.
+        """
         self._recorder = recorder
         self._objects = objects
         self._audit_share = audit_share
@@ -31,14 +34,17 @@
         self._rng = rng
 
     def committed(self, span: Span, found: ChunkResult) -> None:
-        """Count a chunk's items as done by their due time, or late."""
+        """Record a committed chunk's items as good, or as bad if late."""
         done = found.ok + found.failed
         late = self._clock.wall() > span.due
         items = Quantity(0, done) if late else Quantity(done, 0)
         self._recorder.record_due(span.service, items)
 
     def closed(self, span: Span) -> None:
-        """Read a closed span's results again, one time in so many."""
+        """Audit a closed span with the configured probability.
+
+        Errors of the audit are logged and not raised.
+        """
         if self._rng.random() >= self._audit_share:
             return
         try:
--- a/cactusridge/batch/audit.py
+++ b/cactusridge/batch/audit.py
@@ -1,4 +1,4 @@
-"""Reads what is stored of a closed span: each item has one result."""
+"""Audit of closed spans: checks that each item has exactly one result."""
 
 from collections import Counter
 
@@ -12,12 +12,13 @@
 
 
 def audit_span(objects: ObjectStore, span: Span) -> Quantity:
-    """Return how many items of ``span`` have one result, and have not.
+    """Return how many items of ``span`` have exactly one result.
 
-    Compares the ids in the input with those in the outputs that the
-    span's row points at, as a reader of the results finds them. An
-    item missing, doubled or foreign is bad, and so is one whose result
-    is gone or cannot be read. Raises StoreUnavailable.
+    Compares the custom ids in the input with those in the output objects
+    that the span's row points to, which are the ones that readers of the
+    results get. Items without a result, with several results or with a
+    result that the input does not contain are bad; a result object that is
+    missing or unreadable counts as no result. Raises StoreUnavailable.
     """
     wanted = _ids(
         objects.get(
@@ -38,7 +39,7 @@
 
 
 def _stored(objects: ObjectStore, name: str) -> bytes:
-    """Return a result object; one that is gone holds no results."""
+    """Return the bytes of a result object, empty if it does not exist."""
     try:
         return objects.get(name, priority=Priority.report)
     except NotFound:
@@ -50,7 +51,7 @@
 
 
 def _id_in(line: bytes) -> str:
-    """Return the id in a line, or the line itself if it has none."""
+    """Return the custom id in a line, or the line itself if it has none."""
     try:
         return str(orjson.loads(line)['custom_id'])
     except (orjson.JSONDecodeError, KeyError, TypeError):
--- a/cactusridge/batch/chunk_output.py
+++ b/cactusridge/batch/chunk_output.py
@@ -1,4 +1,4 @@
-"""Puts the output of a chunk into the object store."""
+"""Writes the output of a chunk to the object store."""
 
 import gevent
 
@@ -20,10 +20,12 @@
     outcomes: list[ItemOutcome],
     clock: Clock,
 ) -> ChunkResult:
-    """Store the lines under a unique name; wait while the store is down.
+    """Write the lines of ``outcomes`` to a new object.
 
-    The name is unique to this writing, so a second holder of the same
-    chunk never overwrites what the table may already point at.
+    Retries every PAUSE_S seconds while the store is unavailable. The
+    object's name is unique to this call, so that a second holder of the
+    same chunk never overwrites an object that the span's row may already
+    point to. Returns the object's name, sizes in bytes and item counts.
     """
     ok = [outcome.line for outcome in outcomes if outcome.ok]
     failed = [outcome.line for outcome in outcomes if not outcome.ok]
--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -1,4 +1,4 @@
-"""Finds open spans, takes them and runs them, for one entry."""
+"""Finds open spans, takes their leases and runs them, for one entry."""
 
 import itertools
 import random
@@ -13,7 +13,7 @@
 from cactusridge.batch.ordering import URGENT_S, make_order
 from cactusridge.batch.placer import BatchPlacer
 from cactusridge.batch.shards import own_shards
-from cactusridge.batch.span import Span, shard_prefix, span_of
+from cactusridge.batch.span import Span, parse_span, shard_prefix
 from cactusridge.batch.span_runner import SpanRunner
 from cactusridge.batch.watchlist import LeaseWatch
 from cactusridge.errors import CactusridgeError, StoreUnavailable
@@ -22,29 +22,33 @@
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, scan_all
 
-SPREAD = (0.8, 1.2)
+SCAN_JITTER = (0.8, 1.2)
 
 
 class BatchDriver:
-    """Scans its shards of the open spans and runs what it takes.
-
-    Shards are divided among the entries by hashing, without a word
-    between them; a wrong idea of who is there costs a lost race or a
-    later scan, never a doubled item, since leases decide. One foreign
-    shard is looked at with each scan, so that none is ever forgotten.
+    """Scans shards of the open spans, takes spans and runs them.
+
+    Each entry computes its own shards by rendezvous hashing, without
+    messages between entries. An outdated list of entries may cause two
+    entries to compete for a span, or a span to be found later, but no item
+    gets two results, because a span runs under a lease. Each scan also
+    covers one shard of another entry, so that every shard is scanned
+    eventually.
     """
 
     def __init__(self, parts: Parts) -> None:
-        """Run spans with ``parts``."""
+        """Create a driver that uses the components in ``parts``."""
         self._parts = parts
         self._cfg = parts.cfg.batch
         self._holder = new_id(f'{parts.cfg.address}~', parts.clock)
         self._order = make_order(parts.cfg.policy)
-        self._watch = LeaseWatch(self._cfg.lease_s, parts.clock)
+        self._lease_watch = LeaseWatch(self._cfg.lease_s, parts.clock)
         self._rng = random.Random()  # noqa: S311
         self._runners: dict[str, SpanRunner] = {}
         self._greenlets: dict[str, gevent.Greenlet] = {}
-        self._foreign = itertools.count(self._rng.randrange(self._cfg.shards))
+        self._foreign_shards = itertools.count(
+            self._rng.randrange(self._cfg.shards)
+        )
         self._stopping = False
         self._reader = RowReader()
         self._placer = BatchPlacer(
@@ -62,56 +66,66 @@
         )
 
     def start(self) -> None:
-        """Scan and place, in greenlets of its own."""
+        """Start the greenlets that scan shards and place items."""
         self._parts.greenlets.spawn(keep_doing, self._placer.step)
-        self._parts.greenlets.spawn(keep_doing, self._turn)
+        self._parts.greenlets.spawn(keep_doing, self._scan_and_pause)
 
     def step(self) -> None:
-        """Scan once and take what there is room for."""
+        """Scan once and take spans up to the limit of held spans.
+
+        Raises StoreUnavailable.
+        """
         if self._stopping:
             return
         rows = self._open_rows()
         if self._stopping:
-            # Told to stop while the store was read: nobody would hand
-            # back what is taken now.
+            # stop() was called during the scan. It would not hand back a
+            # span that is taken after it has signalled the runners.
             return
         readable = self._reader.readable(
             rows,
-            lambda row: (row, span_of(row)),
+            lambda row: (row, parse_span(row)),
         )
-        free = [each for each in readable if self._watch.free(each[0])]
-        spans = {span.name: row for row, span in free}
-        room = self._cfg.max_spans - len(self._runners)
+        available = [
+            each for each in readable if self._lease_watch.free(each[0])
+        ]
+        spans = {span.name: row for row, span in available}
+        free_capacity = self._cfg.max_spans - len(self._runners)
         held = [runner.held.span for runner in self._runners.values()]
         ranked = self._order.rank(
-            [span for _, span in free],
+            [span for _, span in available],
             held,
             self._parts.clock.wall(),
         )
-        for span in ranked[: max(0, room)]:
-            if self._placer.waiting and not self._urgent(span):
-                # More spans held would only be finished later each.
+        for span in ranked[: max(0, free_capacity)]:
+            if self._placer.waiting and not self._is_urgent(span):
+                # Items are already waiting for a replica. Holding more spans
+                # would only delay each of them.
                 break
             self._take(span, spans[span.name])
         metrics.SPANS_HELD.set({}, len(self._runners))
 
     def stop(self, bound_s: float) -> None:
-        """Hand every lease back; items in flight are run again elsewhere."""
+        """Hand back all leases, waiting at most ``bound_s`` seconds.
+
+        Items in flight of a repeatable span are stopped, and the next
+        holder runs them again; other spans finish the chunks in progress.
+        """
         self._stopping = True
         for runner in self._runners.values():
             runner.stopping.set()
         gevent.joinall(list(self._greenlets.values()), timeout=bound_s)
 
     def held(self) -> list[Span]:
-        """Return the spans held now."""
+        """Return the spans that this entry holds."""
         return [runner.held.span for runner in self._runners.values()]
 
-    def _turn(self) -> None:
+    def _scan_and_pause(self) -> None:
         try:
             self.step()
         except StoreUnavailable as exc:
             gevent.sleep(min(1, exc.retry_after_s or 0))
-        spread = self._rng.uniform(*SPREAD)
+        spread = self._rng.uniform(*SCAN_JITTER)
         gevent.sleep(self._cfg.scan_s * spread)
 
     def _open_rows(self) -> list[Row]:
@@ -121,14 +135,14 @@
             names,
             self._cfg.shards,
         )
-        foreign = next(self._foreign) % self._cfg.shards
+        foreign = next(self._foreign_shards) % self._cfg.shards
         rows: list[Row] = []
         for shard in sorted({*mine, foreign}):
             prefix = shard_prefix(shard)
             rows.extend(scan_all(self._parts.table, prefix, Priority.lease))
         return [row for row in rows if row.key not in self._runners]
 
-    def _urgent(self, span: Span) -> bool:
+    def _is_urgent(self, span: Span) -> bool:
         left_s = span.due - self._parts.clock.wall()
         return left_s < URGENT_S
 
--- a/cactusridge/batch/due.py
+++ b/cactusridge/batch/due.py
@@ -1,4 +1,4 @@
-"""When a job is due."""
+"""Computes the due time of a job."""
 
 import datetime
 import re
@@ -14,27 +14,31 @@
 
 
 class Due(NamedTuple):
-    """Unix seconds at which a job is due, and the window as given."""
+    """Due time in Unix seconds, and the completion window as requested."""
 
     at: float
     window: str
 
 
 def parse_window(text: object) -> float:
-    """Return the seconds in a window such as ``24h`` or ``15m``."""
+    """Return the seconds in a window such as ``24h`` or ``15m``.
+
+    Raises BadRequest.
+    """
     found = WINDOW.fullmatch(text) if isinstance(text, str) else None
     if found is None or not int(found[1]):
         raise BadRequest(
-            'completion_window has to be a number and s, m, h or d',
+            'completion_window must be a number followed by s, m, h or d',
             param='completion_window',
         )
     return int(found[1]) * UNIT_S[found[2]]
 
 
 def due_of(window: object, settings: JobSettings | None, now: float) -> Due:
-    """Return when a job accepted at ``now`` is due.
+    """Return the due time of a job accepted at ``now`` (Unix seconds).
 
-    The job class in the settings may only bring the time forward.
+    The settings of the job's class can make the due time earlier than the
+    requested window, but not later. Raises BadRequest.
     """
     times = [now + parse_window(window)]
     if settings is not None and settings.due_in_s is not None:
@@ -45,7 +49,7 @@
 
 
 def next_time_of_day(text: str, now: float) -> float:
-    """Return the next time, in UTC, at which the clock shows ``text``."""
+    """Return the next Unix time at which it is ``text`` (HH:MM) in UTC."""
     hour, minute = map(int, text.split(':'))
     moment = datetime.datetime.fromtimestamp(now, datetime.UTC)
     target = moment.replace(hour=hour, minute=minute, second=0, microsecond=0)
--- a/cactusridge/batch/file_store.py
+++ b/cactusridge/batch/file_store.py
@@ -1,4 +1,8 @@
-"""Uploaded files: named by their content, so that a resend finds itself."""
+"""Uploaded batch input files.
+
+A file's id is derived from its content, so that a repeated upload of the same
+content returns the existing file.
+"""
 
 import hashlib
 from collections.abc import Iterable, Iterator
@@ -28,23 +32,23 @@
 
 
 def file_id(team: str, digest: str) -> str:
-    """Return the id of a team's file with this content."""
+    """Return the id of a team's file whose content has SHA-256 ``digest``."""
     named = hashlib.sha256(f'{team}/{digest}'.encode()).hexdigest()
     return f'file-{named[:ID_CHARS]}'
 
 
 def row_key(team: str, name: str) -> str:
-    """Return the key of a file's row."""
+    """Return the table key of the row of the file with the id ``name``."""
     return f'files/{team}/{name}'
 
 
 def manifest_name(team: str, name: str) -> str:
-    """Return the object that lists a file's segments."""
+    """Return the name of the object that lists a file's segments."""
     return f'manifests/{team}/{name}'
 
 
 class FileStore:
-    """Batch input files in the object store, with a row for each."""
+    """Stores batch input files: content as objects, metadata as rows."""
 
     def __init__(
         self,
@@ -54,7 +58,10 @@
         catalog: ServiceCatalog,
         clock: Clock,
     ) -> None:
-        """Keep files in ``objects`` and ``table``."""
+        """Store content in ``objects`` and metadata in ``table``.
+
+        ``catalog`` is used to check the model that the items request.
+        """
         self._cfg = cfg
         self._table = table
         self._objects = objects
@@ -68,7 +75,12 @@
         filename: str,
         blocks: Iterable[bytes],
     ) -> Manifest:
-        """Store a file; the same content again is the same file."""
+        """Store a file and return its manifest.
+
+        If the team has uploaded the same content before, returns the
+        manifest of that file. Raises ModelNotFound, BadLine, TooLarge,
+        StoreUnavailable or UnreadableRecord.
+        """
         ingest = Ingest(self._cfg, self._objects, self._clock)
         ingest.take(blocks)
         self._catalog.model(ingest.first.model, team)
@@ -102,19 +114,25 @@
         return self.get(team, name)
 
     def get(self, team: str, name: str) -> Manifest:
-        """Return a file; raise NotFound when the team has none such."""
+        """Return the manifest of a file.
+
+        Raises NotFound if the team has no file with this id.
+        """
         found = self._find(team, name)
         if found is None:
-            raise NotFound(f'no file {name}')
+            raise NotFound(f'file {name} does not exist')
         return found
 
     def names(self, team: str) -> list[dict[str, object]]:
-        """Return a page of the team's files, of those it can read."""
+        """Return the listed fields of a page of the team's files.
+
+        Files whose rows are unreadable are left out.
+        """
         rows = self._table.scan(row_key(team, ''), Priority.report)
         return list(self._reader.readable(rows, _listed))
 
     def blocks(self, manifest: Manifest) -> Iterator[bytes]:
-        """Yield the file's lines, a segment at a time."""
+        """Yield the file's content, one segment at a time."""
         for segment in manifest.segments:
             yield self._objects.get(segment.name)
 
@@ -127,11 +145,11 @@
         try:
             return decode(wire.decode(raw))
         except (BadRequest, UnreadableField) as exc:
-            self._reader.refuse(row, f'its manifest: {exc}')
+            self._reader.refuse(row, f'the manifest is unreadable: {exc}')
 
 
 def _listed(row: Row) -> dict[str, object]:
-    """Return what is listed of a file; raise UnreadableField."""
+    """Return the fields of a file for the listing; raise UnreadableField."""
     fields = Fields(row.value)
     texts = {name: fields.text(name) for name in ('id', 'filename', 'model')}
     wholes = {name: fields.whole(name) for name in ('bytes', 'created')}
--- a/cactusridge/batch/held_span.py
+++ b/cactusridge/batch/held_span.py
@@ -1,4 +1,4 @@
-"""A span that this process holds, and every write to its row."""
+"""A span that this process holds, and all writes to the span's row."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -10,7 +10,7 @@
 from cactusridge.batch.jobs import (
     Progress,
     cancel_key,
-    progress_in,
+    parse_progress,
     progress_key,
 )
 from cactusridge.batch.lease import Lease
@@ -34,20 +34,20 @@
 
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 2
-GROWTH = 2
+BACKOFF_FACTOR = 2
 
 Edit = Callable[[Span], Span]
 
 
 class LeaseLost(CactusridgeError):
-    """Another process holds the span now."""
+    """Another process has taken over the span's lease."""
 
     code = 'lease_lost'
     not_run = True
 
 
 class JobCancelled(CactusridgeError):
-    """The job was cancelled; nothing of it is committed any more."""
+    """The job was cancelled; no further results are committed."""
 
     code = 'job_cancelled'
     not_run = True
@@ -56,9 +56,10 @@
 class HeldSpan:
     """The row of a span under this process's lease.
 
-    Every write is conditional on the row's version, which only this
-    holder moves while it holds, and on the absence of a cancel row. The
-    version at the taking is the fencing number.
+    Every write is conditional on the version of the row, which only the
+    holder of the lease changes, and on the absence of a cancel row for the
+    job. The version that the row has after the lease is taken is the
+    fencing number. All methods raise LeaseLost or JobCancelled.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         span: Span,
         version: int,
     ) -> None:
-        """Hold ``span``, whose row has ``version``, once taken."""
+        """Prepare to take ``span``, whose row has ``version``."""
         self.cfg = cfg
         self.span = span
         self.fence = 0
@@ -83,17 +84,17 @@
         self._reader = RowReader()
 
     def take(self, holder: str, first: Sequence[int]) -> None:
-        """Take the lease and note the chunks that begin at once."""
+        """Take the lease and record the chunks that start at once."""
         self._write(
             lambda span: span._replace(
                 holder=holder,
                 holders=span.holders + 1,
-            ).begin(first),
+            ).start_chunks(first),
         )
         self.fence = self._version
 
     def renew(self) -> None:
-        """Hold on to the lease."""
+        """Renew the lease."""
         self._write(lambda span: span)
 
     def commit(
@@ -102,15 +103,15 @@
         found: ChunkResult,
         following: Sequence[int],
     ) -> None:
-        """Point the row at a chunk's result; note the chunks begun next."""
+        """Record a chunk's result and the chunks that start next."""
         self._write(
             lambda span: span._replace(
                 done={**span.done, str(chunk): list(found)},
-            ).begin(following),
+            ).start_chunks(following),
         )
 
     def mark(self, chunk: int, item: int) -> None:
-        """Note that ``item`` of a suspect ``chunk`` runs alone now."""
+        """Record that an item of a suspect chunk is about to run alone."""
         name = f'{chunk}/{item}'
         self._write(
             lambda span: span._replace(
@@ -119,18 +120,24 @@
         )
 
     def hand_back(self) -> None:
-        """Give the lease up, so that another need not wait for it.
+        """Release the lease, so that others need not wait for its expiry.
 
-        The chunks in work were ended on purpose, so they do not count
-        as begun by a holder that was lost.
+        Chunks in progress were stopped on purpose, so they do not count
+        as started by a holder that failed.
         """
-        self._write(lambda span: span._replace(holder='').unbegin())
+        self._write(
+            lambda span: span._replace(holder='').forget_unfinished_starts()
+        )
         logs.emit(events.SPAN_HANDED_BACK, span=self.span.name)
 
     def close(self, cancelled: bool) -> None:
-        """Move the span to the closed ones and count it in the job."""
+        """Move the span to the closed spans and count it in the progress.
+
+        With ``cancelled`` it is closed even if the job has a cancel row.
+        May also raise UnreadableRecord.
+        """
         with self._lock:
-            self._retrying(lambda: self._close(cancelled))
+            self._retry_until_known(lambda: self._close(cancelled))
         logs.emit(
             events.SPAN_CLOSED,
             span=self.span.name,
@@ -141,10 +148,10 @@
         with self._lock:
             write_id = new_id('w', self._clock)
             span = edit(self.span)._replace(write_id=write_id)
-            self._retrying(lambda: self._transact(span))
+            self._retry_until_known(lambda: self._transact(span))
 
     def _transact(self, span: Span) -> None:
-        sent = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         cancel = Condition(cancel_key(span.job), ABSENT)
         try:
             version = self._table.transact(
@@ -153,13 +160,13 @@
                 Priority.lease,
             )
         except ConditionFailed as exc:
-            version = self._resolve(exc, span)
+            version = self._resolve_conflict(exc, span)
         self._version = version
         self.span = span
-        self.lease.renewed(sent)
+        self.lease.renew(sent_at)
 
-    def _resolve(self, exc: ConditionFailed, span: Span) -> int:
-        """Return the version if an earlier try took effect; else raise."""
+    def _resolve_conflict(self, exc: ConditionFailed, span: Span) -> int:
+        """Return the version if an earlier attempt took effect; else raise."""
         if cancel_key(span.job) in exc.rows:
             raise JobCancelled from exc
         row = exc.rows.get(self.key)
@@ -173,9 +180,9 @@
     def _close(self, cancelled: bool) -> None:
         progress_row, done_row = self._closing_rows()
         if self._reader.there(done_row):
-            # An earlier try took effect, or another closed the span.
+            # An earlier attempt or another holder closed the span.
             return
-        counted = self._reader.read(progress_row, progress_in)
+        counted = self._reader.read(progress_row, parse_progress)
         progress = counted or Progress()
         results = self.span.results()
         now = self._clock.wall()
@@ -203,7 +210,7 @@
                 Priority.commit,
             )
         except ConditionFailed as exc:
-            self._explain_close(exc, progress_row.key)
+            self._raise_close_failure(exc, progress_row.key)
 
     def _closing_rows(self) -> tuple[Row, Row]:
         keys = [
@@ -213,7 +220,7 @@
         rows = by_key(self._table.read(keys, Priority.commit))
         return rows[keys[0]], rows[keys[1]]
 
-    def _explain_close(self, exc: ConditionFailed, progress: str) -> None:
+    def _raise_close_failure(self, exc: ConditionFailed, progress: str) -> None:
         if cancel_key(self.span.job) in exc.rows:
             raise JobCancelled from exc
         if self.key in exc.rows:
@@ -221,14 +228,14 @@
             if not self._reader.there(done_row):
                 raise LeaseLost from exc
             return
-        # Only the count moved: another span of the job was closed.
-        raise WriteUnknown(f'{progress} moved') from exc
+        # Only the progress row changed: another span of the job was closed.
+        raise WriteUnknown(f'{progress} has a newer version') from exc
 
-    def _retrying(self, write: Callable[[], None]) -> None:
-        """Repeat ``write`` until the store says how it ended.
+    def _retry_until_known(self, write: Callable[[], None]) -> None:
+        """Repeat ``write`` with backoff until its outcome is known.
 
-        The condition on the row's version makes this safe: whichever
-        try takes effect first makes all others fail.
+        The condition on the row's version makes retries safe: after one
+        attempt has taken effect, all other attempts fail.
         """
         pause_s = FIRST_PAUSE_S
         while True:
@@ -236,6 +243,6 @@
                 write()
             except (StoreUnavailable, WriteUnknown):
                 gevent.sleep(self._rng.uniform(pause_s / 2, pause_s))
-                pause_s = min(MAX_PAUSE_S, pause_s * GROWTH)
+                pause_s = min(MAX_PAUSE_S, pause_s * BACKOFF_FACTOR)
                 continue
             return
--- a/cactusridge/batch/ingest.py
+++ b/cactusridge/batch/ingest.py
@@ -1,4 +1,4 @@
-"""Takes a batch input file line by line and cuts it into segments."""
+"""Reads a batch input file line by line and splits it into segments."""
 
 import hashlib
 from collections.abc import Iterable, Iterator
@@ -18,13 +18,17 @@
 
 
 class TooManyItems(TooLarge):
-    """The file holds more items than a job may have."""
+    """The file contains more items than a job may have."""
 
     code = 'too_many_items'
 
 
 class Ingest:
-    """One upload; only one segment is held in memory at a time."""
+    """One upload; keeps at most one segment in memory.
+
+    ``items`` is the number of items read, ``size`` the number of bytes and
+    ``first`` the first item, whose model and url all others must share.
+    """
 
     def __init__(
         self,
@@ -32,7 +36,7 @@
         objects: ObjectStore,
         clock: Clock,
     ) -> None:
-        """Write segments to ``objects`` under a name of this upload."""
+        """Write segments to ``objects`` under a name unique to this upload."""
         self._cfg = cfg
         self._objects = objects
         self._upload = new_id('u', clock)
@@ -46,21 +50,24 @@
         self.segments: list[Segment] = []
 
     def take(self, blocks: Iterable[bytes]) -> None:
-        """Read the whole file; raise BadLine or TooLarge at a fault."""
-        for line in self._split(blocks):
+        """Read the whole file and store its segments.
+
+        Raises BadLine, TooLarge, TooManyItems or StoreUnavailable.
+        """
+        for line in self._split_lines(blocks):
             self._number += 1
             if line.strip():
                 self._add(line)
         if self._lines:
             self._store_segment()
         if self.first is None:
-            raise BadLine('the file holds no item', param='file')
+            raise BadLine('the file contains no items', param='file')
 
     def digest(self) -> str:
-        """Return the SHA-256 of all bytes read, in hex."""
+        """Return the SHA-256 digest of all bytes read, in hex."""
         return self._digest.hexdigest()
 
-    def _split(self, blocks: Iterable[bytes]) -> Iterator[bytes]:
+    def _split_lines(self, blocks: Iterable[bytes]) -> Iterator[bytes]:
         rest = b''
         for block in blocks:
             self._count(block)
@@ -68,7 +75,8 @@
             yield from lines
             if len(rest) > MAX_LINE_BYTES:
                 raise BadLine(
-                    f'line {self._number + 1}: over {MAX_LINE_BYTES} bytes',
+                    f'line {self._number + 1}: longer than'
+                    f' {MAX_LINE_BYTES} bytes',
                 )
         if rest:
             yield rest
@@ -77,37 +85,44 @@
         self._digest.update(block)
         self.size += len(block)
         if self.size > self._cfg.max_file_bytes:
-            raise TooLarge(f'over {self._cfg.max_file_bytes} bytes')
+            raise TooLarge(
+                f'the file exceeds {self._cfg.max_file_bytes} bytes',
+            )
 
     def _add(self, line: bytes) -> None:
         item = parse_line(line, self._number)
-        self._check_alike(item)
+        self._check_same_target(item)
         self._check_unique(item)
         self.items += 1
         if self.items > self._cfg.max_items:
             raise TooManyItems(
-                f'line {self._number}: over {self._cfg.max_items} items',
+                f'line {self._number}: the file contains more than'
+                f' {self._cfg.max_items} items',
             )
         self._lines.append(line.strip() + NEWLINE)
         if len(self._lines) == self._cfg.chunk_items * self._cfg.span_chunks:
             self._store_segment()
 
-    def _check_alike(self, item: Item) -> None:
+    def _check_same_target(self, item: Item) -> None:
         if self.first is None:
             self.first = item
         if item.model != self.first.model:
             raise BadLine(
-                f'line {self._number}, body.model: a file is for one model',
+                f'line {self._number}, body.model: all items of a file must'
+                ' have the same model',
             )
         if item.url != self.first.url:
-            raise BadLine(f'line {self._number}, url: a file is for one url')
+            raise BadLine(
+                f'line {self._number}, url: all items of a file must have'
+                ' the same url',
+            )
 
     def _check_unique(self, item: Item) -> None:
         key = hash64(item.custom_id)
         if key in self._custom_ids:
             raise BadLine(
-                f'line {self._number}, custom_id: {item.custom_id!r} was'
-                ' used on a line before',
+                f'line {self._number}, custom_id: {item.custom_id!r} is'
+                ' already used on an earlier line',
             )
         self._custom_ids.add(key)
 
--- a/cactusridge/batch/item_outcome.py
+++ b/cactusridge/batch/item_outcome.py
@@ -1,4 +1,4 @@
-"""How an item ended, as its line in the output or error file."""
+"""Final outcomes of items, as lines of the output and error files."""
 
 from http import HTTPStatus
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class ItemOutcome(NamedTuple):
-    """A final line and which of the two files it belongs to."""
+    """A line of the output file if ``ok``, else of the error file."""
 
     ok: bool
     line: bytes
@@ -21,7 +21,10 @@
     status: int,
     body: bytes,
 ) -> ItemOutcome:
-    """Return the outcome of an item that the upstream answered."""
+    """Return the outcome of an item to which the upstream responded.
+
+    The outcome is ok only for status 200.
+    """
     response = {
         'status_code': status,
         'request_id': item_id,
@@ -42,7 +45,7 @@
     exc: CactusridgeError,
     attempts: int,
 ) -> ItemOutcome:
-    """Return the outcome of an item that will never be done."""
+    """Return the outcome of an item that failed and will not be retried."""
     message = {
         'id': item_id,
         'custom_id': custom_id,
--- a/cactusridge/batch/item_runner.py
+++ b/cactusridge/batch/item_runner.py
@@ -1,4 +1,4 @@
-"""Runs one item until it has a final outcome."""
+"""Runs a batch item, with retries, until it has a final outcome."""
 
 import gevent
 
@@ -24,26 +24,26 @@
 
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 2
-GROWTH = 2
+BACKOFF_FACTOR = 2
 SERVER_FAULT = 500
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 OK = 200
 
 
 class ItemExhausted(CactusridgeError):
-    """The item failed as often as the service allows."""
+    """The item failed as many times as the service allows."""
 
     code = 'item_attempts_exhausted'
 
 
 class ItemMayHaveRun(CactusridgeError):
-    """The item may have run, and the service's calls are not repeated."""
+    """The item may have run, and calls of this service are not retried."""
 
     code = 'item_outcome_unknown'
 
 
 class ItemTask:
-    """One item, the span it belongs to and how often it was tried."""
+    """One item with its service, slack, fence and number of attempts."""
 
     def __init__(
         self,
@@ -53,7 +53,11 @@
         slack_s: float,
         fence: Fence,
     ) -> None:
-        """Run ``item`` of ``service`` under ``fence``."""
+        """Create the task of ``item``.
+
+        ``slack_s`` is the time until the item is due, in seconds, and
+        ``fence`` the fencing number of the span that contains it.
+        """
         self.item = item
         self.id = item_id
         self.service = service
@@ -63,7 +67,7 @@
 
 
 class ItemRunner:
-    """Sends items to replicas with room and judges their failures."""
+    """Sends items to replicas with free capacity and retries failures."""
 
     def __init__(
         self,
@@ -71,13 +75,16 @@
         placer: BatchPlacer,
         clock: Clock,
     ) -> None:
-        """Place items with ``placer``."""
+        """Send items with ``dispatcher`` to the replicas ``placer`` picks."""
         self._dispatcher = dispatcher
         self._placer = placer
         self._clock = clock
 
     def run(self, task: ItemTask, permit: DispatchPermit) -> ItemOutcome:
-        """Return the final outcome; raise LeaseLost once not permitted."""
+        """Run an item with backoff between attempts; return its outcome.
+
+        Raises LeaseLost when the span is no longer held.
+        """
         pause_s = FIRST_PAUSE_S
         while True:
             permit.wait()
@@ -86,23 +93,29 @@
             except LeaseLost:
                 raise
             except CactusridgeError as exc:
-                final = self._judge(task, exc)
+                final = self._classify_failure(task, exc)
             if final is not None:
                 return final
             gevent.sleep(pause_s)
-            pause_s = min(MAX_PAUSE_S, pause_s * GROWTH)
+            pause_s = min(MAX_PAUSE_S, pause_s * BACKOFF_FACTOR)
 
     def _try(self, task: ItemTask, permit: DispatchPermit) -> ItemOutcome:
         self._dispatcher.check(self._dispatch(task))
         with self._placer.place(task.service, task.slack_s) as replica:
             permit.check()
-            # Its time counts from here, not from the wait for a place.
+            # The deadline counts from here, not from the start of the wait
+            # for a replica, so the dispatch is built again.
             dispatch = self._dispatch(task)
             attempt = self._dispatcher.attempt(dispatch, replica)
             body = attempt.whole()
-        if attempt.status >= SERVER_FAULT or attempt.status == TOO_MANY:
-            raise OutcomeUnknown(f'the upstream answered {attempt.status}')
-        self._count(task, 'ok' if attempt.status == OK else 'refused')
+        if (
+            attempt.status >= SERVER_FAULT
+            or attempt.status == TOO_MANY_REQUESTS
+        ):
+            raise OutcomeUnknown(
+                f'the upstream responded with status {attempt.status}',
+            )
+        self._count_item(task, 'ok' if attempt.status == OK else 'refused')
         return item_outcome.answered(
             task.id,
             task.item.custom_id,
@@ -128,12 +141,12 @@
             fence=task.fence,
         )
 
-    def _judge(
+    def _classify_failure(
         self,
         task: ItemTask,
         exc: CactusridgeError,
     ) -> ItemOutcome | None:
-        """Return a final failure, or None when the item may go again."""
+        """Return a final outcome, or None if the item may be retried."""
         settings = task.service.settings
         if isinstance(exc, Quarantined):
             return self._fail(task, exc)
@@ -149,7 +162,7 @@
         return None
 
     def _fail(self, task: ItemTask, exc: CactusridgeError) -> ItemOutcome:
-        self._count(task, exc.code)
+        self._count_item(task, exc.code)
         logs.emit(
             events.ITEM_FAILED,
             item=task.id,
@@ -163,6 +176,6 @@
             task.attempts,
         )
 
-    def _count(self, task: ItemTask, outcome: str) -> None:
+    def _count_item(self, task: ItemTask, outcome: str) -> None:
         labels = {'service': task.service.path, 'outcome': outcome}
         metrics.ITEMS.inc(labels)
--- a/cactusridge/batch/job_reader.py
+++ b/cactusridge/batch/job_reader.py
@@ -1,4 +1,4 @@
-"""What has become of a job: status, results, output."""
+"""Reads the status, results and output of jobs."""
 
 from collections.abc import Iterator
 
@@ -9,26 +9,29 @@
     Progress,
     cancel_key,
     cancelled_at,
-    progress_in,
+    parse_progress,
     progress_key,
 )
 from cactusridge.batch.span import (
     ChunkResult,
     Span,
     done_key,
+    parse_span,
     span_key,
-    span_of,
 )
 from cactusridge.clock import Clock
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Table, by_key
 
-KEYS_A_READ = 200
+KEYS_PER_READ = 200
 
 
 class JobReader:
-    """Reads jobs through the table's pointers, at any entry."""
+    """Reads jobs from the rows and objects in the store.
+
+    Any entry can serve any job, because no local state is used.
+    """
 
     def __init__(
         self,
@@ -37,7 +40,7 @@
         objects: ObjectStore,
         clock: Clock,
     ) -> None:
-        """Find open spans in ``shards``."""
+        """Read open spans, which are spread over ``shards`` shards."""
         self._shards = shards
         self._table = table
         self._objects = objects
@@ -45,13 +48,14 @@
         self._reader = RowReader()
 
     def status(self, job: Job) -> JobStatus:
-        """Return what has become of ``job`` so far.
+        """Return the current state and item counts of ``job``.
 
-        Raises UnreadableRecord rather than counts that lack a row's.
+        Raises UnreadableRecord if any row of the job is unreadable, instead
+        of returning counts that leave that row out.
         """
         keys = [progress_key(job.id), cancel_key(job.id)]
         rows = by_key(self._table.read(keys, Priority.report))
-        counted = self._reader.read(rows[keys[0]], progress_in)
+        counted = self._reader.read(rows[keys[0]], parse_progress)
         progress = counted or Progress()
         cancelled = self._reader.read(rows[keys[1]], cancelled_at)
         ok, failed = progress.ok, progress.failed
@@ -75,23 +79,26 @@
         )
 
     def spans(self, job: Job, only_open: bool = False) -> Iterator[Span]:
-        """Yield the job's spans in order, a few hundred rows a read."""
-        for first in range(0, job.spans, KEYS_A_READ):
-            numbers = range(first, min(job.spans, first + KEYS_A_READ))
+        """Yield the job's spans in order, KEYS_PER_READ spans per read.
+
+        Raises UnreadableRecord.
+        """
+        for first in range(0, job.spans, KEYS_PER_READ):
+            numbers = range(first, min(job.spans, first + KEYS_PER_READ))
             yield from self._spans(job, numbers, only_open)
 
     def results(self, job: Job) -> Iterator[ChunkResult]:
-        """Yield the committed results, in the order of the input."""
+        """Yield the committed chunk results, in the order of the input."""
         for span in self.spans(job):
             yield from span.results()
 
     def output(self, job: Job) -> Iterator[bytes]:
-        """Yield the output lines committed so far."""
+        """Yield the committed output lines, as bytes of one chunk each."""
         for found in self.results(job):
             yield self._objects.get(found.name, 0, found.ok_bytes)
 
     def errors(self, job: Job) -> Iterator[bytes]:
-        """Yield the error lines committed so far."""
+        """Yield the committed error lines, as bytes of one chunk each."""
         for found in self.results(job):
             yield self._objects.get(found.name, found.ok_bytes, found.size)
 
@@ -108,20 +115,24 @@
         wanted = list(open_keys.values())
         if not only_open:
             wanted.extend(done_keys.values())
-        # One read, so that a span that closes meanwhile is seen once.
+        # Open and closed rows are read together, so that a span that closes
+        # during the read is found in one of the two places.
         rows = by_key(self._table.read(wanted, Priority.report))
         found = []
         for number in numbers:
             row = rows[open_keys[number]]
             if not only_open and not self._reader.there(row):
                 row = rows[done_keys[number]]
-            span = self._reader.read(row, span_of)
+            span = self._reader.read(row, parse_span)
             if span is not None:
                 found.append(span)
         return found
 
     def _at_risk(self, job: Job, done: int) -> bool:
-        """Tell whether at the rate so far the job would miss its time."""
+        """Return whether the job, at its rate so far, would miss its due time.
+
+        ``done`` is the number of items that have a result.
+        """
         now = self._clock.wall()
         if now >= job.due:
             return True
--- a/cactusridge/batch/job_store.py
+++ b/cactusridge/batch/job_store.py
@@ -1,4 +1,4 @@
-"""Accepts, lists, cancels and reads jobs."""
+"""Accepts, reads, lists and cancels jobs."""
 
 import hashlib
 from typing import Any, NamedTuple
@@ -9,8 +9,8 @@
     Job,
     Progress,
     cancel_key,
-    job_in,
     job_key,
+    parse_job,
     progress_key,
 )
 from cactusridge.batch.manifest import Manifest
@@ -39,7 +39,11 @@
 
 
 class Submission(NamedTuple):
-    """What a caller asks for: ``key`` names it, whoever sends it again."""
+    """A request to create a job.
+
+    ``key`` is the idempotency key: a repeated submission with the same key
+    refers to the same job.
+    """
 
     team: str
     key: str
@@ -51,18 +55,21 @@
 
 
 def job_id(team: str, key: str) -> str:
-    """Return the id that this team's ``key`` always gets."""
+    """Return the job id that belongs to a team's idempotency ``key``."""
     digest = hashlib.sha256(f'{team}/{key}'.encode()).hexdigest()
     return f'batch_{digest[:ID_CHARS]}'
 
 
 def body_digest(body: dict[str, Any]) -> str:
-    """Return a digest of what was asked for, whatever its key order."""
+    """Return the SHA-256 digest of a request body in hex.
+
+    The digest does not depend on the order of the keys in the body.
+    """
     return hashlib.sha256(wire.canonical(body)).hexdigest()
 
 
 class JobStore:
-    """Jobs in the table; their input and output in the object store."""
+    """Stores jobs and their spans as rows of the table."""
 
     def __init__(
         self,
@@ -71,7 +78,7 @@
         objects: ObjectStore,
         clock: Clock,
     ) -> None:
-        """Spread spans over ``shards``."""
+        """Spread the rows of open spans over ``shards`` shards."""
         self._shards = shards
         self._table = table
         self._objects = objects
@@ -79,9 +86,11 @@
         self._reader = RowReader()
 
     def accept(self, asked: Submission) -> Job:
-        """Accept a job once; the same request again gets the same job.
+        """Accept a job and return it once its rows are in the table.
 
-        Returns only after job and spans are in the table.
+        A repeated submission returns the job that was stored first. Raises
+        IdempotencyMismatch if the key was used with another body, and
+        OutcomeUnknown if it cannot be confirmed that the job is stored.
         """
         job = self._job(asked)
         key = job_key(asked.team, job.id)
@@ -95,36 +104,49 @@
             insert_once(self._table, [Condition(key, ABSENT)], writes)
             row = self._table.read([key], Priority.acceptance)[0]
         try:
-            stored = self._reader.read(row, job_in)
+            stored = self._reader.read(row, parse_job)
         except UnreadableRecord as exc:
-            # It is stored: nothing may be said that means it is not.
+            # A row exists, so the error must not imply that the job was
+            # not accepted.
             raise OutcomeUnknown(str(exc), retry_after_s=1) from exc
         if stored is None:
-            raise OutcomeUnknown(f'{key} is gone again', retry_after_s=1)
+            raise OutcomeUnknown(f'{key} no longer exists', retry_after_s=1)
         if stored.digest != job.digest:
             raise IdempotencyMismatch(
-                f'the key of {stored.id} was used with another body',
+                f'the idempotency key of {stored.id} was already used with'
+                ' a different body',
             )
         logs.emit(events.JOB_ACCEPTED, job=job.id, items=job.items)
         return stored
 
     def get(self, team: str, name: str) -> Job:
-        """Return a job; raise NotFound when the team has none such."""
+        """Return a job.
+
+        Raises NotFound if the team has no job with this id, and
+        UnreadableRecord if its row is unreadable.
+        """
         row = self._table.read([job_key(team, name)], Priority.report)[0]
-        job = self._reader.read(row, job_in)
+        job = self._reader.read(row, parse_job)
         if job is None:
-            raise NotFound(f'no batch {name}')
+            raise NotFound(f'batch {name} does not exist')
         return job
 
     def page(self, team: str, after: str, limit: int) -> list[Job]:
-        """Return a page of the team's jobs by id, of those it can read."""
+        """Return up to ``limit`` jobs of a team, in the order of their ids.
+
+        The page starts after the id ``after``. Jobs whose rows are
+        unreadable are left out.
+        """
         prefix = job_key(team, '')
         start = f'{prefix}{after}' if after else ''
         rows = self._table.scan(prefix, Priority.report, start, limit)
-        return list(self._reader.readable(rows, job_in))
+        return list(self._reader.readable(rows, parse_job))
 
     def cancel(self, team: str, name: str) -> Job:
-        """Cancel a job; from then on no chunk of it can be committed."""
+        """Cancel a job; once stored, none of its chunks can be committed.
+
+        Raises NotFound or UnreadableRecord.
+        """
         job = self.get(team, name)
         key = cancel_key(name)
         insert_once(
--- a/cactusridge/batch/jobs.py
+++ b/cactusridge/batch/jobs.py
@@ -1,4 +1,4 @@
-"""A job as it is stored, and what may be read of it."""
+"""Stored jobs and their progress: types, row keys and parsers."""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class JobState(enum.StrEnum):
-    """The published states of a batch that occur here."""
+    """The states of a batch in the public API that this system uses."""
 
     in_progress = 'in_progress'
     completed = 'completed'
@@ -17,7 +17,10 @@
 
 
 class Job(NamedTuple):
-    """An accepted job; this row never changes."""
+    """An accepted job; its row never changes.
+
+    ``due`` and ``created`` are Unix seconds.
+    """
 
     id: str
     team: str
@@ -36,7 +39,10 @@
 
 
 class Progress(NamedTuple):
-    """Closed spans of a job and their items."""
+    """Counts of a job's closed spans and of their items.
+
+    ``finished`` is when a span was last closed, in Unix seconds.
+    """
 
     spans: int = 0
     ok: int = 0
@@ -45,7 +51,10 @@
 
 
 class JobStatus(NamedTuple):
-    """A job with what has become of it so far."""
+    """A job with its current state and item counts.
+
+    ``cancelled_at`` and ``finished_at`` are Unix seconds, or 0.
+    """
 
     job: Job
     state: JobState
@@ -57,26 +66,26 @@
 
     @property
     def done(self) -> int:
-        """Return the items that have a result."""
+        """Return the number of items that have a result."""
         return self.ok + self.failed
 
 
 def job_key(team: str, name: str) -> str:
-    """Return the key of a job's row."""
+    """Return the table key of the row of the job with the id ``name``."""
     return f'jobs/{team}/{name}'
 
 
 def cancel_key(name: str) -> str:
-    """Return the key of the row that exists once a job is cancelled."""
+    """Return the table key of the row that marks a job as cancelled."""
     return f'cancel/{name}'
 
 
 def progress_key(name: str) -> str:
-    """Return the key of a job's count of closed spans."""
+    """Return the table key of a job's progress row."""
     return f'progress/{name}'
 
 
-def job_in(row: Row) -> Job:
+def parse_job(row: Row) -> Job:
     """Return the job in a row; raise UnreadableField."""
     fields = Fields(row.value)
     texts = {
@@ -97,7 +106,7 @@
     )
 
 
-def progress_in(row: Row) -> Progress:
+def parse_progress(row: Row) -> Progress:
     """Return the progress in a row; raise UnreadableField."""
     fields = Fields(row.value)
     return Progress(
@@ -109,5 +118,8 @@
 
 
 def cancelled_at(row: Row) -> float:
-    """Return when a job was cancelled; raise UnreadableField."""
+    """Return when a job was cancelled, in Unix seconds.
+
+    Raises UnreadableField.
+    """
     return Fields(row.value).number('when')
--- a/cactusridge/batch/manifest.py
+++ b/cactusridge/batch/manifest.py
@@ -1,4 +1,4 @@
-"""What an uploaded file consists of."""
+"""Manifest of an uploaded batch input file."""
 
 from typing import Any, NamedTuple
 
@@ -6,9 +6,10 @@
 
 
 class Segment(NamedTuple):
-    """An object with the input of one span.
+    """An object that contains the input of one span.
 
-    ``offsets`` are the bytes at which its chunks begin, and its size.
+    ``offsets`` are the byte offsets at which its chunks begin, followed by
+    its size in bytes.
     """
 
     name: str
@@ -17,7 +18,10 @@
 
 
 class Manifest(NamedTuple):
-    """A batch input file: its segments, model and endpoint."""
+    """A batch input file: its metadata, model, endpoint and segments.
+
+    ``bytes`` is its size, ``created`` its upload time in Unix seconds.
+    """
 
     id: str
     team: str
@@ -31,19 +35,19 @@
     segments: tuple[Segment, ...]
 
     def row(self) -> dict[str, Any]:
-        """Return the table's row; segments are kept in an object."""
+        """Return the value of the file's row, which leaves out segments."""
         fields = self._asdict()
         fields.pop('segments')
         return fields
 
     def encoded(self) -> dict[str, Any]:
-        """Return the whole manifest as JSON."""
+        """Return the whole manifest as a JSON object, for storage."""
         segments = [segment._asdict() for segment in self.segments]
         return {**self._asdict(), 'segments': segments}
 
 
 def decode(raw: Any) -> Manifest:
-    """Return the manifest that was encoded; raise UnreadableField."""
+    """Return the manifest in a JSON object; raise UnreadableField."""
     fields = Fields(raw)
     texts = {
         name: fields.text(name)
--- a/cactusridge/batch/ordering.py
+++ b/cactusridge/batch/ordering.py
@@ -1,4 +1,4 @@
-"""Which open span is worked on next."""
+"""Orders in which an entry takes open spans."""
 
 import abc
 from collections import Counter
@@ -7,15 +7,15 @@
 from cactusridge.batch.span import Span
 from cactusridge.startup.models import EntryPolicy
 
-# Work left in a job is guessed at this many seconds an item.
-ITEM_S = 0.05
-# A span with less slack than this, in seconds, goes before all that have
-# more, whatever their teams.
+# Assumed run time per item, in seconds, for estimating a job's open work.
+ITEM_ESTIMATE_S = 0.05
+# Spans with less slack than this, in seconds, come before all other spans,
+# regardless of their teams.
 URGENT_S = 600
 
 
 class SpanOrder(abc.ABC):
-    """Ranks the spans that could be taken."""
+    """Ranks the open spans that an entry could take."""
 
     @abc.abstractmethod
     def rank(
@@ -24,11 +24,15 @@
         held: Iterable[Span],
         now: float,
     ) -> list[Span]:
-        """Return ``spans``, the one to take first in front."""
+        """Return ``spans`` in the order in which to take them.
+
+        ``held`` are the spans that this entry holds already; ``now`` is the
+        current time in Unix seconds.
+        """
 
 
 class FirstCome(SpanOrder):
-    """Naive: in the order of acceptance."""
+    """Naive order: by time of acceptance."""
 
     def rank(
         self,
@@ -36,19 +40,23 @@
         held: Iterable[Span],
         now: float,
     ) -> list[Span]:
-        """Return the spans by the time of acceptance."""
+        """Return ``spans`` by time of acceptance."""
         return sorted(spans, key=lambda span: (span.created, span.name))
 
 
 class LeastSlack(SpanOrder):
-    """Least slack first; teams take turns among jobs that are not late.
+    """Least slack first; teams alternate among spans that are not urgent.
 
-    Slack is the time to the due time less the work left in the job as
-    far as it is seen here, at ``item_s`` seconds an item.
+    The slack of a span is the time until it is due minus the estimated run
+    time of the job's open items, at ``item_s`` seconds per item. Only items
+    of the spans passed to the ranking are counted.
     """
 
     def __init__(self, item_s: float, urgent_s: float) -> None:
-        """Count ``item_s`` an item; slack under ``urgent_s`` goes first."""
+        """Estimate ``item_s`` seconds per item.
+
+        Spans with less than ``urgent_s`` seconds of slack come first.
+        """
         self.item_s = item_s
         self._urgent_s = urgent_s
 
@@ -58,16 +66,23 @@
         held: Iterable[Span],
         now: float,
     ) -> list[Span]:
-        """Return urgent spans by slack, then the others fairly by team."""
+        """Return urgent spans by slack, then the others alternating by team.
+
+        Spans that this entry holds count as already served to their teams.
+        """
         slack = self.slack(spans, now)
         urgent = [span for span in spans if slack[span.name] < self._urgent_s]
-        calm = [span for span in spans if slack[span.name] >= self._urgent_s]
+        not_urgent = [
+            span for span in spans if slack[span.name] >= self._urgent_s
+        ]
         urgent.sort(key=lambda span: slack[span.name])
-        calm.sort(key=lambda span: slack[span.name])
-        return urgent + _by_turns(calm, Counter(span.team for span in held))
+        not_urgent.sort(key=lambda span: slack[span.name])
+        return urgent + _fair_by_team(
+            not_urgent, Counter(span.team for span in held)
+        )
 
     def slack(self, spans: Sequence[Span], now: float) -> dict[str, float]:
-        """Return the seconds of slack by span."""
+        """Return the slack of each span in seconds, by span name."""
         left: Counter[str] = Counter()
         for span in spans:
             left[span.job] += span.items
@@ -77,9 +92,15 @@
         }
 
 
-def _by_turns(spans: Sequence[Span], served: Counter[str]) -> list[Span]:
-    """Return ``spans`` so that the teams least served come first."""
-    counts = Counter(served)
+def _fair_by_team(
+    spans: Sequence[Span], held_by_team: Counter[str]
+) -> list[Span]:
+    """Return ``spans`` so that teams with the fewest spans come first.
+
+    ``held_by_team`` counts the spans that each team has already; a team's
+    spans keep their order.
+    """
+    counts = Counter(held_by_team)
     ranked = []
     for span in spans:
         ranked.append((counts[span.team], len(ranked), span))
@@ -88,7 +109,7 @@
 
 
 def make_order(policy: EntryPolicy) -> SpanOrder:
-    """Return the order that the start settings name."""
+    """Return the span order that the start settings specify."""
     if policy.spans == 'first_come':
         return FirstCome()
-    return LeastSlack(ITEM_S, URGENT_S)
+    return LeastSlack(ITEM_ESTIMATE_S, URGENT_S)
--- a/cactusridge/batch/permit.py
+++ b/cactusridge/batch/permit.py
@@ -1,4 +1,4 @@
-"""Leave to dispatch: the span is held and its lease has not lapsed."""
+"""Permit to dispatch items while the span is held under a valid lease."""
 
 import gevent
 from gevent.event import Event
@@ -10,37 +10,37 @@
 PAUSE_S = 0.1
 
 
-class LeaseLapsed(Refused):
-    """The lease has to be renewed before anything more is dispatched."""
+class LeaseExpired(Refused):
+    """The lease must be renewed before more items are dispatched."""
 
     code = 'lease_lapsed'
 
 
 class DispatchPermit:
-    """Checked before every dispatch of an item.
+    """Permission to dispatch items of a span, checked before each dispatch.
 
-    A process that was paused may come back after its lease has passed
-    to another; its own monotonic clock then tells it so, before it has
-    spoken to anyone.
+    A suspended process may resume after another process has taken over its
+    lease. Its own monotonic clock then shows that the lease has expired,
+    before the process has sent any message.
     """
 
-    def __init__(self, going: Event, lease: Lease) -> None:
-        """Permit while ``going`` is set and ``lease`` is valid."""
-        self._going = going
+    def __init__(self, span_held: Event, lease: Lease) -> None:
+        """Permit dispatch while ``span_held`` is set and ``lease`` valid."""
+        self._span_held = span_held
         self._lease = lease
 
     def wait(self) -> None:
-        """Wait for leave; raise LeaseLost when it will not come."""
+        """Wait until the lease is valid; raise LeaseLost once it is lost."""
         while True:
-            if not self._going.is_set():
+            if not self._span_held.is_set():
                 raise LeaseLost
             if self._lease.valid():
                 return
             gevent.sleep(PAUSE_S)
 
     def check(self) -> None:
-        """Raise LeaseLost or LeaseLapsed unless there is leave now."""
-        if not self._going.is_set():
+        """Raise LeaseLost or LeaseExpired unless dispatch is permitted."""
+        if not self._span_held.is_set():
             raise LeaseLost
         if not self._lease.valid():
-            raise LeaseLapsed
+            raise LeaseExpired
--- a/cactusridge/batch/placer.py
+++ b/cactusridge/batch/placer.py
@@ -1,4 +1,4 @@
-"""Finds replicas with room for batch items, least slack first."""
+"""Assigns batch items to replicas with free capacity, least slack first."""
 
 import contextlib
 import heapq
@@ -16,33 +16,36 @@
 
 
 class Waiter:
-    """An item that waits for a place, and the place once it has one."""
+    """An item that waits for a replica, and the replica once assigned."""
 
     def __init__(self) -> None:
-        """Wait."""
+        """Create a waiter without a replica."""
         self.granted = Event()
         self.replica: Replica | None = None
 
 
 class BatchPlacer:
-    """Hands out places for items; bounded over the whole process."""
+    """Assigns items to replicas, up to a number of items in flight.
+
+    An item counts as in flight from its assignment until it has ended.
+    """
 
     def __init__(
         self,
         fleet: Fleet,
         outliers: OutlierDetector,
-        bound: int,
+        max_items: int,
     ) -> None:
-        """Allow at most ``bound`` items in flight from this process."""
+        """Allow at most ``max_items`` items in flight from this process."""
         self._fleet = fleet
         self._outliers = outliers
-        self._bound = bound
+        self._max_items = max_items
         self._serial = itertools.count()
         self._waiting: dict[str, list[tuple[float, int, Waiter]]] = {}
         self._placed: dict[str, int] = {}
 
     def step(self) -> None:
-        """Wait for a report, then look again who may go."""
+        """Assign waiting items after a report, or after WAIT_S seconds."""
         self._fleet.changed.wait(WAIT_S)
         self._fleet.changed.clear()
         for service in tuple(self._waiting):
@@ -50,12 +53,15 @@
 
     @property
     def waiting(self) -> int:
-        """Return the items that wait for a place."""
+        """Return the number of items that wait for a replica."""
         return sum(map(len, self._waiting.values()))
 
     @contextlib.contextmanager
     def place(self, service: Service, slack_s: float) -> Iterator[Replica]:
-        """Wait for a place, hold it and give it back."""
+        """Wait for a replica and occupy a slot on it within the context.
+
+        Waiting items of a service are served in the order of ``slack_s``.
+        """
         waiter = Waiter()
         entry = (slack_s, next(self._serial), waiter)
         heapq.heappush(self._waiting.setdefault(service.path, []), entry)
@@ -64,16 +70,16 @@
             waiter.granted.wait()
             yield waiter.replica
         finally:
-            self._leave(service.path, entry)
+            self._release(service.path, entry)
 
-    def _leave(
+    def _release(
         self,
         service: str,
         entry: tuple[float, int, Waiter],
     ) -> None:
         replica = entry[2].replica
         if replica is None:
-            # Ended while it waited.
+            # The item ended before it was assigned to a replica.
             heap = self._waiting[service]
             heap.remove(entry)
             heapq.heapify(heap)
@@ -83,8 +89,8 @@
 
     def _grant(self, service: str) -> None:
         heap = self._waiting.get(service, [])
-        while heap and sum(self._placed.values()) < self._bound:
-            replica = self._roomiest(service)
+        while heap and sum(self._placed.values()) < self._max_items:
+            replica = self._most_free_replica(service)
             if replica is None:
                 return
             waiter = heapq.heappop(heap)[2]
@@ -92,19 +98,20 @@
             self._count(replica, 1)
             waiter.granted.set()
 
-    def _roomiest(self, service: str) -> Replica | None:
+    def _most_free_replica(self, service: str) -> Replica | None:
         replicas = {
             replica.key: replica for replica in self._fleet.replicas(service)
         }
         allowed = self._outliers.allowed(replicas)
         entries = len(self._fleet.entry_names())
-        rooms = [
-            (self._room(replicas[key], entries), key) for key in sorted(allowed)
+        remaining = [
+            (self._remaining_share(replicas[key], entries), key)
+            for key in sorted(allowed)
         ]
-        best = max(rooms, default=(0, ''))
+        best = max(remaining, default=(0, ''))
         return replicas[best[1]] if best[0] > 0 else None
 
-    def _room(self, replica: Replica, entries: int) -> int:
+    def _remaining_share(self, replica: Replica, entries: int) -> int:
         fair = replica.batch_share(entries)
         return fair - self._placed.get(replica.key, 0)
 
--- a/cactusridge/batch/shards.py
+++ b/cactusridge/batch/shards.py
@@ -1,4 +1,4 @@
-"""Which shards of the open spans an entry scans."""
+"""Assignment of the shards of open spans to the entries that scan them."""
 
 from collections.abc import Sequence
 
@@ -10,11 +10,11 @@
     entries: Sequence[str],
     shards: int,
 ) -> list[int]:
-    """Return the shards whose best ranked entry is ``entry``.
+    """Return the shards that rendezvous hashing assigns to ``entry``.
 
-    Rendezvous hashing: an entry that goes leaves its own shards to the
-    others and moves no other. With more entries than shards some have
-    none; they find work in the foreign shard of each scan.
+    When an entry leaves, only its own shards move to other entries. If
+    there are more entries than shards, some entries have none; these find
+    spans in the shard of another entry that each scan also covers.
     """
     names = sorted({*entries, entry})
     return [
--- a/cactusridge/batch/span.py
+++ b/cactusridge/batch/span.py
@@ -1,4 +1,4 @@
-"""A span: the part of a job that one lease covers."""
+"""Spans: parts of a job that are each run under one lease."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -13,10 +13,11 @@
 
 
 class ChunkResult(NamedTuple):
-    """Where a chunk's output lies and how its items ended.
+    """A chunk's output object and the counts of its items.
 
-    The first ``ok_bytes`` of the object are output lines, the rest
-    error lines.
+    ``name`` and ``size`` (in bytes) are those of the object. Its first
+    ``ok_bytes`` bytes are output lines, the rest are error lines. ``ok``
+    and ``failed`` count the items.
     """
 
     name: str
@@ -27,10 +28,15 @@
 
 
 class Span(NamedTuple):
-    """A span's row: its work, its lease and its progress.
-
-    ``started`` counts, by chunk, the holders that began it; ``done``
-    has the results. Keys are text, since JSON has no others.
+    """The row of a span: its input, its lease and its progress.
+
+    ``segment`` is the input object and ``offsets`` the byte offsets of its
+    chunks, followed by its size; ``due`` and ``created`` are Unix seconds.
+    ``holder`` is empty while no lease is held, and ``holders`` counts how
+    often the lease was taken. By chunk, ``started`` has the number of
+    starts and ``done`` the fields of a ChunkResult; by ``chunk/item``,
+    ``marks`` has the number of times that the item was run alone. Keys are
+    strings, because JSON has no other keys.
     """
 
     job: str
@@ -53,7 +59,7 @@
 
     @property
     def name(self) -> str:
-        """Return the span's name, unique over all jobs."""
+        """Return the span's name, which is unique across all jobs."""
         return f'{self.job}/{self.number:05}'
 
     @property
@@ -62,28 +68,28 @@
         return len(self.offsets) - 1
 
     def results(self) -> list[ChunkResult]:
-        """Return the results so far, in the order of the chunks."""
+        """Return the committed results in the order of the chunks."""
         return [
             ChunkResult(*self.done[key]) for key in sorted(self.done, key=int)
         ]
 
     def pending(self) -> list[int]:
-        """Return the chunks without a result."""
+        """Return the numbers of the chunks without a result."""
         return [
             number
             for number in range(self.chunks)
             if str(number) not in self.done
         ]
 
-    def begin(self, chunks: Iterable[int]) -> 'Span':
-        """Return the span with ``chunks`` begun once more."""
+    def start_chunks(self, chunks: Iterable[int]) -> 'Span':
+        """Return the span with one more start of each of ``chunks``."""
         counts = {
             str(chunk): self.started.get(str(chunk), 0) + 1 for chunk in chunks
         }
         return self._replace(started={**self.started, **counts})
 
-    def unbegin(self) -> 'Span':
-        """Return the span as if the chunks in work were not begun."""
+    def forget_unfinished_starts(self) -> 'Span':
+        """Return the span with one start less of each unfinished chunk."""
         started = {
             chunk: count if chunk in self.done else count - 1
             for chunk, count in self.started.items()
@@ -92,27 +98,27 @@
 
 
 def shard_of(job: str, number: int, shards: int) -> int:
-    """Return the shard of a span."""
+    """Return the shard (from 0) that contains a span's row while open."""
     return hash64(f'{job}/{number}') % shards
 
 
 def shard_prefix(shard: int) -> str:
-    """Return the prefix below which a shard's spans are kept."""
+    """Return the key prefix of the rows in a shard."""
     return f'{SPANS}{shard:03}/'
 
 
 def span_key(job: str, number: int, shards: int) -> str:
-    """Return the key of an open span's row."""
+    """Return the table key of an open span's row."""
     shard = shard_of(job, number, shards)
     return f'{shard_prefix(shard)}{job}/{number:05}'
 
 
 def done_key(job: str, number: int) -> str:
-    """Return the key of a closed span's row."""
+    """Return the table key of a closed span's row."""
     return f'{DONE}{job}/{number:05}'
 
 
-def span_of(row: Row) -> Span:
+def parse_span(row: Row) -> Span:
     """Return the span in ``row``; raise UnreadableField."""
     fields = Fields(row.value)
     return Span(
@@ -141,7 +147,7 @@
     done = span.mapping('done', {})
     for chunk, found in done.items():
         if not chunk.isdecimal() or not _is_result(found):
-            raise UnreadableField(f'the result of chunk {chunk!r}')
+            raise UnreadableField(f'the result of chunk {chunk!r} is invalid')
     return done
 
 
--- a/cactusridge/batch/span_runner.py
+++ b/cactusridge/batch/span_runner.py
@@ -1,4 +1,4 @@
-"""Works through the chunks of one held span."""
+"""Runs the chunks of one held span."""
 
 import itertools
 from collections import deque
@@ -29,12 +29,15 @@
 
 MIN_WINDOW = 2
 WINDOW_ITEMS = 128
-SUSPECT_AFTER = 3
+SUSPECT_STARTS = 3
 PAUSE_S = 0.5
 
 
 class SpanRunner:
-    """Runs a span's chunks, some at a time, and commits each."""
+    """Runs a span's chunks, several at a time, and commits each.
+
+    ``stopping`` is set to make the runner stop and hand back the lease.
+    """
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         accounts: BatchAccounts,
         clock: Clock,
     ) -> None:
-        """Run the span in ``held`` on ``service``."""
+        """Create a runner of the span in ``held``, calling ``service``."""
         self.held = held
         self.stopping = Event()
         self._service = service
@@ -53,12 +56,15 @@
         self._items = items
         self._accounts = accounts
         self._clock = clock
-        self._going = Event()
-        self._permit = DispatchPermit(self._going, held.lease)
+        self._span_held = Event()
+        self._permit = DispatchPermit(self._span_held, held.lease)
         self._pending: deque[int] = deque(held.span.pending())
 
     def run(self, holder: str) -> None:
-        """Take the span, run it and close it; raises nothing."""
+        """Take the span's lease, run its chunks and close it.
+
+        Handles JobCancelled and LeaseLost; raises other errors.
+        """
         try:
             self._run(holder)
         except JobCancelled:
@@ -74,12 +80,12 @@
             span=self.held.span.name,
             fence=self.held.fence,
         )
-        self._going.set()
-        workers = [gevent.spawn(self._guarded, chunk) for chunk in first]
+        self._span_held.set()
+        workers = [gevent.spawn(self._run_worker, chunk) for chunk in first]
         try:
             self._watch(workers)
         finally:
-            self._going.clear()
+            self._span_held.clear()
             gevent.killall(workers)
         if self.stopping.is_set() and self.held.span.pending():
             self.held.hand_back()
@@ -88,15 +94,20 @@
         self._accounts.closed(self.held.span)
 
     def _window(self) -> int:
-        """Return how many chunks to run at once, by the items in each.
+        """Return how many chunks to run at once.
 
-        A chunk ends with its slowest item; with few items in work the
-        next job's would take the slots that an urgent one leaves.
+        A chunk ends only with its slowest item. With too few items in
+        flight, items of other jobs would take the slots that an urgent
+        job's chunks leave free meanwhile.
         """
         return max(MIN_WINDOW, WINDOW_ITEMS // self.held.cfg.chunk_items)
 
     def _watch(self, workers: list[gevent.Greenlet]) -> None:
-        """Renew the lease while the workers run; raise what ends them."""
+        """Renew the lease while the workers run.
+
+        Returns early if the runner is stopped and the span is repeatable.
+        Raises the first failure of a worker.
+        """
         while not all(worker.ready() for worker in workers):
             gevent.joinall(workers, timeout=PAUSE_S, count=len(workers))
             if self.stopping.is_set() and self.held.span.repeatable:
@@ -111,8 +122,8 @@
             if worker.ready() and isinstance(worker.value, CactusridgeError):
                 raise worker.value
 
-    def _guarded(self, chunk: int) -> CactusridgeError | None:
-        """Work from ``chunk`` on; return the failure that ended it."""
+    def _run_worker(self, chunk: int) -> CactusridgeError | None:
+        """Run ``chunk`` and following chunks; return a failure, if any."""
         following = [chunk]
         try:
             while following:
@@ -122,7 +133,7 @@
         return None
 
     def _run_chunk(self, chunk: int) -> list[int]:
-        """Run and commit ``chunk``; return the one to run next, if any."""
+        """Run and commit ``chunk``; return the next chunk, if any."""
         lines = self._read(chunk)
         tasks = [
             self._task(chunk, index, parse_line(line, index + 1))
@@ -146,21 +157,21 @@
         chunk: int,
         tasks: list[ItemTask],
     ) -> list[ItemOutcome]:
-        begun = self.held.span.started.get(str(chunk), 1)
-        if begun > 1 and not self._service.settings.repeatable:
-            # A holder before this one may have run any of them.
-            return [_may_have_run(task) for task in tasks]
-        if begun > SUSPECT_AFTER:
+        starts = self.held.span.started.get(str(chunk), 1)
+        if starts > 1 and not self._service.settings.repeatable:
+            # An earlier holder may have run any of these items.
+            return [_outcome_unknown(task) for task in tasks]
+        if starts > SUSPECT_STARTS:
             return [self._run_alone(chunk, task) for task in tasks]
         pool = Pool(len(tasks))
         try:
-            ended = pool.map(self._ended, tasks)
+            ended = pool.map(self._try_item, tasks)
         finally:
             pool.kill()
-        return [_outcome_of(each) for each in ended]
+        return [_outcome_or_raise(each) for each in ended]
 
-    def _ended(self, task: ItemTask) -> ItemOutcome | CactusridgeError:
-        """Return how an item ended, or why it was dropped."""
+    def _try_item(self, task: ItemTask) -> ItemOutcome | CactusridgeError:
+        """Return an item's outcome, or the error that prevented one."""
         try:
             return self._run_item(task)
         except CactusridgeError as exc:
@@ -170,16 +181,22 @@
         return self._items.run(task, self._permit)
 
     def _run_alone(self, chunk: int, task: ItemTask) -> ItemOutcome:
-        """Run an item of a chunk that several holders did not survive."""
+        """Run one item of a chunk whose holders failed several times.
+
+        Each such item is marked in the span's row before it runs alone,
+        and fails once it has been marked ``max_item_attempts`` times.
+        """
         index = int(task.id.rpartition('-')[-1])
-        tried = self.held.span.marks.get(f'{chunk}/{index}', 0)
-        if tried >= self._service.settings.max_item_attempts:
-            exhausted = ItemExhausted('its holders did not survive it')
+        marked_runs = self.held.span.marks.get(f'{chunk}/{index}', 0)
+        if marked_runs >= self._service.settings.max_item_attempts:
+            exhausted = ItemExhausted(
+                'each holder that ran the item was lost during the run',
+            )
             return item_outcome.failed(
                 task.id,
                 task.item.custom_id,
                 exhausted,
-                tried,
+                marked_runs,
             )
         self.held.mark(chunk, index)
         task.attempts = 1
@@ -222,12 +239,12 @@
             logs.emit(events.SPAN_LOST, span=self.held.span.name)
 
 
-def _outcome_of(ended: ItemOutcome | CactusridgeError) -> ItemOutcome:
+def _outcome_or_raise(ended: ItemOutcome | CactusridgeError) -> ItemOutcome:
     if isinstance(ended, CactusridgeError):
         raise ended
     return ended
 
 
-def _may_have_run(task: ItemTask) -> ItemOutcome:
-    exc = ItemMayHaveRun('its holder was lost while it may have run')
+def _outcome_unknown(task: ItemTask) -> ItemOutcome:
+    exc = ItemMayHaveRun('the holder was lost when the item may have run')
     return item_outcome.failed(task.id, task.item.custom_id, exc, 1)
--- a/cactusridge/batch/watchlist.py
+++ b/cactusridge/batch/watchlist.py
@@ -1,4 +1,4 @@
-"""Tells expired leases from held ones by this host's clock alone."""
+"""Detects expired leases by this host's clock alone."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -10,23 +10,30 @@
 
 
 class Seen(NamedTuple):
-    """A row's version and when it was first seen, monotonic seconds."""
+    """A row's version, and since when it was seen, in monotonic seconds."""
 
     version: int
-    at: float
+    since: float
 
 
 class LeaseWatch:
-    """Remembers since when each held row has not changed."""
+    """Records since when the row of each held span has not changed.
+
+    Remembers the MAX_WATCHED rows that changed most recently.
+    """
 
     def __init__(self, lease_s: float, clock: Clock) -> None:
-        """Call a lease expired after ``lease_s`` without a change."""
+        """Treat a lease as expired after ``lease_s`` seconds unchanged."""
         self._lease_s = lease_s
         self._clock = clock
         self._seen: OrderedDict[str, Seen] = OrderedDict()
 
     def free(self, row: Row) -> bool:
-        """Tell whether the span in ``row`` may be taken now."""
+        """Return whether the span in ``row`` may be taken now.
+
+        True if it has no holder or its row has been unchanged for longer
+        than the lease.
+        """
         if row.value is None:
             return False
         if not row.value['holder']:
@@ -34,11 +41,11 @@
         now = self._clock.monotonic()
         seen = self._seen.get(row.key)
         if seen is None or seen.version != row.version:
-            self._note(row, now)
+            self._record(row, now)
             return False
-        return now - seen.at > self._lease_s
+        return now - seen.since > self._lease_s
 
-    def _note(self, row: Row, now: float) -> None:
+    def _record(self, row: Row, now: float) -> None:
         self._seen[row.key] = Seen(row.version, now)
         self._seen.move_to_end(row.key)
         if len(self._seen) > MAX_WATCHED:
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -9,7 +9,7 @@
 from cactusridge.organisations.directory import Directory, Holder
 from cactusridge.organisations.errors import KeysUnsure, UnknownKey
 from cactusridge.organisations.key_check import KeyCheck
-from cactusridge.organisations.key_lease import WATCH_GAP_S, MARGIN_S, KeyLease
+from cactusridge.organisations.key_lease import MARGIN_S, WATCH_GAP_S, KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.organisations.keys import bearer_key, key_digest
 from cactusridge.organisations.organisation import Organisation
--- a/tests/test_permit.py
+++ b/tests/test_permit.py
@@ -10,7 +10,7 @@
 from cactusridge.batch.item_runner import ItemRunner, ItemTask
 from cactusridge.batch.lease import Lease
 from cactusridge.batch.lines import parse_line
-from cactusridge.batch.permit import DispatchPermit, LeaseLapsed
+from cactusridge.batch.permit import DispatchPermit, LeaseExpired
 from cactusridge.clock import ManualClock
 from cactusridge.errors import NoReplica
 from cactusridge.orders import Fence
@@ -68,9 +68,9 @@
         """Hold a lease of ten seconds."""
         self.clock = ManualClock()
         self.lease = Lease(CFG, self.clock, 0)
-        self.going = Event()
-        self.going.set()
-        self.permit = DispatchPermit(self.going, self.lease)
+        self.span_held = Event()
+        self.span_held.set()
+        self.permit = DispatchPermit(self.span_held, self.lease)
         self.dispatcher = Dispatcher()
 
     def run_item(self, on_place) -> gevent.Greenlet:
@@ -91,14 +91,14 @@
         greenlet = self.run_item(lambda: None)
         gevent.sleep(0.2)
         self.assertEqual(0, self.dispatcher.attempts)
-        self.lease.renewed(self.clock.monotonic())
+        self.lease.renew(self.clock.monotonic())
         gevent.sleep(0.3)
         greenlet.kill()
         self.assertGreater(self.dispatcher.attempts, 0)
 
     def test_lost(self):
         """Once another holds the span the item is dropped."""
-        self.going.clear()
+        self.span_held.clear()
         with self.assertRaises(LeaseLost):
             self.permit.check()
         greenlet = self.run_item(lambda: None)
@@ -108,5 +108,5 @@
     def test_check_says_which(self):
         """A lapsed lease is not yet a lost one."""
         self.clock.advance(60)
-        with self.assertRaises(LeaseLapsed):
+        with self.assertRaises(LeaseExpired):
             self.permit.check()
--- a/tests/test_span_ledger.py
+++ b/tests/test_span_ledger.py
@@ -15,7 +15,7 @@
 from cactusridge.batch import held_span
 from cactusridge.batch.held_span import HeldSpan, JobCancelled, LeaseLost
 from cactusridge.batch.jobs import Progress, cancel_key, progress_key
-from cactusridge.batch.span import ChunkResult, Span, done_key, span_of
+from cactusridge.batch.span import ChunkResult, Span, done_key, parse_span
 from cactusridge.clock import ManualClock
 from cactusridge.startup.models import BatchSettings
 from cactusridge.store.table import Priority, Write
@@ -95,7 +95,7 @@
             CFG,
             self.table,
             self.clock,
-            span_of(row),
+            parse_span(row),
             row.version,
         )
         if self.ends(lambda: found.take(name, [0]), False):
