--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of entries that keep limits, without a network.
+"""Simulated fleet of entries that enforce rate limits, without a network.
 
-Entries are lost, come back and are cut off while the clock goes on.
+Entries are lost, restarted and partitioned while the simulated clock runs.
 """
 
 import itertools
@@ -17,48 +17,51 @@
 
 READ_S = 1.0
 LEASE_S = 3.2
-RENEWED_S = 2.5
-UNNOTICED_S = 3.0
-TOLD_S = 0.1
+ROW_CURRENT_S = 2.5
+MEMBERSHIP_GAP_S = 3.0
+BROADCAST_DELAY_S = 0.1
 STEP_S = 0.005
 
 
 class Loss(NamedTuple):
-    """Entries that are away for a while: ended, dark, or cut off.
+    """Failure of a ``share`` of the entries from ``at`` on, for ``for_s``.
 
-    A ``dark`` host refuses no connection. Those that are cut off
-    ``together`` reach each other, nobody else.
+    With ``partitioned`` the entries keep running but cannot reach the store
+    or other entries; with ``as_group`` they reach each other. Without
+    ``partitioned`` they are stopped, and their hosts refuse connections
+    unless these are ``powered_off``.
     """
 
     at: float
     for_s: float
     share: float
-    cut: bool = False
-    together: bool = False
-    dark: bool = False
+    partitioned: bool = False
+    as_group: bool = False
+    powered_off: bool = False
 
 
 class Entry:
-    """An entry, its own view of the list and its limiter."""
+    """A simulated entry with its view of the membership and its limiter."""
 
     def __init__(self, fleet: 'Fleet', number: int) -> None:
-        """Start at the beginning of the play."""
+        """Start entry ``number`` at the current time of ``fleet``."""
         self.fleet = fleet
         self.name = f'10.0.{number // 250}.{number % 250}:1'
         self.alive = True
-        self.dark = False
-        # Those on one side reach each other, and those on none the store.
-        self.side = ''
+        self.powered_off = False
+        # Entries with equal names here reach each other; those with an
+        # empty name also reach the store.
+        self.partition = ''
         self.since = float(0)
         self.renewed = float(0)
-        self.seen: dict[str, tuple[float, float, float]] = {}
+        self.read_rows: dict[str, tuple[float, float, float]] = {}
         self.read_at = fleet.rng.uniform(0, READ_S)
         self.start()
 
     def start(self) -> None:
-        """Begin with nothing in memory."""
+        """Start the entry's process without any state in memory."""
         clock = self.fleet.clock
-        self.seen = {}
+        self.read_rows = {}
         self.homes = Homes(
             self.name,
             self.listed,
@@ -67,33 +70,33 @@
             clock,
         )
         self.home = LimitHome(self.homes, clock)
-        self.home.on_counted(self.tell_left)
-        self.look_at = clock.now
+        self.home.on_counted(self.send_copies)
+        self.update_at = clock.now
         self.limiter = self.fleet.make(self)
 
     @property
-    def cut(self) -> bool:
-        """Whether the store cannot be reached."""
-        return bool(self.side)
+    def partitioned(self) -> bool:
+        """Whether the entry cannot reach the store."""
+        return bool(self.partition)
 
     def reaches(self, other: 'Entry') -> bool:
-        """Tell whether a datagram gets there."""
-        return other.alive and self.side == other.side
+        """Return whether a datagram from this entry reaches ``other``."""
+        return other.alive and self.partition == other.partition
 
     def is_current(self) -> bool:
-        """Tell whether the row counts as renewed."""
-        return self.fleet.clock.now - self.renewed < RENEWED_S
+        """Return whether this entry's row was renewed recently."""
+        return self.fleet.clock.now - self.renewed < ROW_CURRENT_S
 
-    def go_on(self, now: float) -> None:
-        """Do what is due."""
-        if self.alive and not self.cut and now >= self.read_at:
+    def run_due(self, now: float) -> None:
+        """Run the periodic work that is due at ``now``."""
+        if self.alive and not self.partitioned and now >= self.read_at:
             self.step()
-        if self.alive and now >= self.look_at:
+        if self.alive and now >= self.update_at:
             self.homes.look()
-            self.look_at = now + LOOK_S
+            self.update_at = now + LOOK_S
 
-    def tell_left(self, copy: LimitCopy) -> None:
-        """Tell who stands in for this entry what is left."""
+    def send_copies(self, copy: LimitCopy) -> None:
+        """Send the remaining tokens to the backup owners."""
         for name in self.homes.ranked(copy.name)[1:]:
             other = self.fleet.by_name[name]
             self.fleet.messages += 1
@@ -101,33 +104,34 @@
                 other.home.copied(copy)
 
     def listed(self) -> list[Candidate]:
-        """Return who lives, by this entry's readings."""
-        # What cannot be read ends nobody.
+        """Return the live entries according to this entry's reads."""
+        # Ages count up to the last read, so that an entry that cannot read
+        # the list does not treat the others as expired.
         read_at = self.read_at - READ_S
         return [
             Candidate(name, int(since * MS_PER_S))
-            for name, (since, _, changed) in self.seen.items()
+            for name, (since, _, changed) in self.read_rows.items()
             if read_at - changed < LEASE_S or name == self.name
         ]
 
     def step(self) -> None:
-        """Renew the row and read those of the others."""
+        """Renew this entry's row and read the rows of all entries."""
         now = self.fleet.clock.now
-        if now - self.renewed > UNNOTICED_S:
+        if now - self.renewed > MEMBERSHIP_GAP_S:
             self.since = now
         self.renewed = now
         self.fleet.rows[self.name] = (self.since, now)
         for name, (since, renewed) in self.fleet.rows.items():
-            known = self.seen.get(name)
+            known = self.read_rows.get(name)
             same = known is not None and known[1] == renewed
             changed = known[2] if same else now
-            self.seen[name] = (since, renewed, changed)
+            self.read_rows[name] = (since, renewed, changed)
         self.read_at = now + READ_S
         self.homes.look()
 
 
 class Fleet:
-    """Entries before organisations that send."""
+    """A fleet of simulated entries with a shared clock and store."""
 
     def __init__(
         self,
@@ -135,53 +139,57 @@
         make: Callable[[Entry], Limiter],
         seed: int,
     ) -> None:
-        """Limit by what ``make`` returns for an entry."""
+        """Create ``entries`` entries with the limiters ``make`` returns."""
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.make = make
         self.rows: dict[str, tuple[float, float]] = {}
         self.messages = 0
-        self._told: list[tuple[float, Entry, str, RateLimit]] = []
+        self._broadcasts: list[tuple[float, Entry, str, RateLimit]] = []
         self.entries = [Entry(self, number) for number in range(entries)]
         self.by_name = {each.name: each for each in self.entries}
 
-    def tell(self, sender: Entry, name: str, limit: RateLimit) -> None:
-        """Have all entries hear of a request a moment later."""
+    def broadcast(self, sender: Entry, name: str, limit: RateLimit) -> None:
+        """Report a request to all entries after BROADCAST_DELAY_S."""
         self.messages += len(self.entries) - 1
-        self._told.append((self.clock.now + TOLD_S, sender, name, limit))
+        self._broadcasts.append(
+            (self.clock.now + BROADCAST_DELAY_S, sender, name, limit)
+        )
 
-    def move_to(self, now: float, losses: Sequence[Loss]) -> None:
-        """Go on to ``now``."""
+    def advance_to(self, now: float, losses: Sequence[Loss]) -> None:
+        """Advance the clock to ``now`` in steps and run all entries."""
         while self.clock.now < now:
             self.clock.now = min(now, self.clock.now + STEP_S)
-            self._lose(losses)
+            self._apply_losses(losses)
             for entry in self.entries:
-                entry.go_on(self.clock.now)
-            while self._told and self._told[0][0] <= self.clock.now:
-                self._hear(*self._told.pop(0)[1:])
+                entry.run_due(self.clock.now)
+            while self._broadcasts and self._broadcasts[0][0] <= self.clock.now:
+                self._deliver(*self._broadcasts.pop(0)[1:])
 
-    def _lose(self, losses: Sequence[Loss]) -> None:
-        """Let those be away whom a loss meets now."""
+    def _apply_losses(self, losses: Sequence[Loss]) -> None:
+        """Stop, partition or restart entries according to ``losses``."""
         lost: dict[Entry, bool] = {}
-        sides: dict[Entry, str] = {}
+        partitions: dict[Entry, str] = {}
         for number, loss in enumerate(losses):
-            met = self._met(number, loss)
-            if loss.cut:
-                side = f'side {number}' if loss.together else ''
-                sides.update((each, side or each.name) for each in met)
+            met = self._affected(number, loss)
+            if loss.partitioned:
+                partition = f'partition {number}' if loss.as_group else ''
+                partitions.update(
+                    (each, partition or each.name) for each in met
+                )
             else:
-                lost.update((each, loss.dark) for each in met)
+                lost.update((each, loss.powered_off) for each in met)
         for entry in self.entries:
-            entry.side = sides.get(entry, '')
-            comes_back = not entry.alive and entry not in lost
+            entry.partition = partitions.get(entry, '')
+            restarts = not entry.alive and entry not in lost
             entry.alive = entry not in lost
-            entry.dark = lost.get(entry, False)
-            if comes_back:
+            entry.powered_off = lost.get(entry, False)
+            if restarts:
                 entry.start()
                 entry.step()
 
-    def _met(self, number: int, loss: Loss) -> Iterator[Entry]:
-        """Return those whom a loss meets now."""
+    def _affected(self, number: int, loss: Loss) -> Iterator[Entry]:
+        """Return the entries that the loss with this number affects now."""
         if not loss.at <= self.clock.now < loss.at + loss.for_s:
             return iter(())
         count = round(len(self.entries) * loss.share)
@@ -189,7 +197,7 @@
         around = itertools.cycle(self.entries)
         return itertools.islice(around, first, first + count)
 
-    def _hear(self, sender: Entry, name: str, limit: RateLimit) -> None:
+    def _deliver(self, sender: Entry, name: str, limit: RateLimit) -> None:
         for entry in self.entries:
-            if entry is not sender and entry.alive and not entry.cut:
-                entry.limiter.heard(name, limit)
+            if entry is not sender and entry.alive and not entry.partitioned:
+                entry.limiter.receive(name, limit)
--- a/tests/limits_limiters.py
+++ b/tests/limits_limiters.py
@@ -1,4 +1,4 @@
-"""The limiters that are played against each other."""
+"""The limiters that the simulation compares with each other."""
 
 from cactusridge.organisations.home_limits import HomeLimits
 from cactusridge.organisations.limit_ask import Asker
@@ -7,16 +7,16 @@
 from tests.limits_fleet import Entry
 
 
-class Direct(Asker):
-    """Asks an entry of the same play."""
+class DirectAsker(Asker):
+    """Asker that calls another entry of the same simulation directly."""
 
     def __init__(self, entry: Entry) -> None:
-        """Ask for ``entry``."""
+        """Send requests on behalf of ``entry``."""
         self._entry = entry
         self._fleet = entry.fleet
 
     def ask(self, entry, asked):
-        """Ask unless one of both is away."""
+        """Return the response, or None if the other entry is unreachable."""
         self._fleet.messages += 2
         other = self._fleet.by_name[entry]
         if not self._entry.reaches(other):
@@ -24,37 +24,40 @@
         return other.home.answer(asked)
 
     def has_ended(self, entry):
-        """Tell whether the entry's host refuses connections."""
+        """Return whether the entry's host is reachable but refuses."""
         other = self._fleet.by_name[entry]
-        near = other.side == self._entry.side
-        return near and not (other.alive or other.dark)
+        reachable = other.partition == self._entry.partition
+        return reachable and not (other.alive or other.powered_off)
 
     def give_back(self, entry, name):
-        """Never needed here."""
+        """Do nothing, since no simulated request is returned."""
 
 
-class ToldCounts(Limiter):
-    """Every entry has the whole limit, less what the others tell of."""
+class BroadcastCounts(Limiter):
+    """Each entry applies the whole limit and broadcasts what it admits.
+
+    Every entry also counts the requests that the other entries report.
+    """
 
     def __init__(self, entry: Entry) -> None:
-        """Tell the whole fleet."""
+        """Create the limiter of ``entry``, which broadcasts to its fleet."""
         self._entry = entry
         self._buckets: dict[str, TokenBucket] = {}
 
     def take(self, name, limit, version):
-        """Take a token here; the others hear of it a moment later."""
+        """Take a local token; the others receive the report with a delay."""
         fleet = self._entry.fleet
         wait_s = self._bucket(name, limit).take(fleet.clock.now)
         if not wait_s:
-            fleet.tell(self._entry, name, limit)
+            fleet.broadcast(self._entry, name, limit)
         return wait_s
 
-    def heard(self, name, limit):
-        """Take a token for a request at another entry."""
+    def receive(self, name, limit):
+        """Take a token for a request that another entry admitted."""
         self._bucket(name, limit).take(self._entry.fleet.clock.now)
 
     def give_back(self, name):
-        """Never needed here."""
+        """Do nothing, since no simulated request is returned."""
 
     def _bucket(self, name, limit):
         if name not in self._buckets:
@@ -63,17 +66,17 @@
         return self._buckets[name]
 
 
-def by_homes(entry: Entry) -> Limiter:
-    """Return the limiter that asks the homes."""
+def by_owners(entry: Entry) -> Limiter:
+    """Return the limiter that sends each request to the owner."""
     return HomeLimits(
         entry.name,
         entry.homes,
         entry.home,
-        Direct(entry),
+        DirectAsker(entry),
         entry.fleet.clock,
     )
 
 
 def by_shares(entry: Entry) -> Limiter:
-    """Return the naive limiter."""
+    """Return the naive limiter with equal shares for all entries."""
     return FixedShares(lambda: len(entry.fleet.entries), entry.fleet.clock)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Batch items are counted against their objectives."""
+"""Batch items are recorded against the objectives of their service."""
 
 import random
 
@@ -16,39 +16,39 @@
 
 
 def lose(lines: list[bytes]) -> list[bytes]:
-    """Lose the first line."""
+    """Return ``lines`` without the first one."""
     return lines[1:]
 
 
 def double(lines: list[bytes]) -> list[bytes]:
-    """Have the first line twice."""
+    """Return ``lines`` with the first one twice."""
     return [lines[0], *lines]
 
 
 def replace(lines: list[bytes]) -> list[bytes]:
-    """Have another's line instead of the first."""
+    """Return ``lines`` with a foreign id in the first one."""
     return [lines[0].replace(b'"id-', b'"foreign-'), *lines[1:]]
 
 
 def keep(lines: list[bytes]) -> list[bytes]:
-    """Leave the lines as they are."""
+    """Return ``lines`` unchanged."""
     return lines
 
 
 class TestAccounts(RigCase):
-    """A job is run; what is stored of it is then counted."""
+    """Runs a job, then records and audits its stored results."""
 
     entries = 1
 
     def setUp(self):
-        """Run a job."""
+        """Run a job until it is completed."""
         super().setUp()
         self.parts = self.rig.entries[0].subject.parts
         self.job = self.submit([f'a{number}' for number in range(ITEMS)])
         self.wait_state(self.job, 'completed')
 
     def closed(self) -> Span:
-        """Return a closed span of the job from its row."""
+        """Return the closed span of the job, read from its row."""
         rows = self.rig.platform.table.rows
         return next(
             Span(**stored)
@@ -57,7 +57,7 @@
         )
 
     def report(self) -> dict:
-        """Return what the burn report tells of each objective."""
+        """Return the objectives in the burn report."""
         self.parts.recorder.flush()
         path = f'/admin/burn?service={YAZMAN}&window=1h'
         answer = self.rig.call(self.rig.entries[0], path, method='GET')
@@ -65,13 +65,13 @@
         return answer.body['objectives']
 
     def test_due_met(self):
-        """Items done in time are good in the report."""
+        """Items finished by their due time are good in the report."""
         found = self.report()['due_met']
         self.assertEqual((ITEMS, 0), (found['good'], found['bad']))
 
     @params((0, (ITEMS, 0)), (1e12, (ITEMS, ITEMS)))
     def test_due_missed(self, now, wanted):
-        """Items done after their due time are bad."""
+        """Items committed after their due time are bad in the report."""
         span = self.closed()
         accounts = self.accounts(ManualClock(now))
         for result in span.results():
@@ -87,7 +87,7 @@
         (replace, (ITEMS - 2, 2)),
     )
     def test_audit(self, change, wanted):
-        """What is stored is compared with what was accepted."""
+        """Missing, doubled and foreign results in the output are bad."""
         span = self.closed()
         name = span.results()[0].name
         stored = self.rig.platform.objects
@@ -97,7 +97,7 @@
 
     @params(None, b'not JSON\n', b'{"custom_id": []}\n')
     def test_unreadable_results(self, raw):
-        """A result that is gone or cannot be read is no result."""
+        """Items whose result object is missing or unreadable are bad."""
         span = self.closed()
         result = span.results()[0]
         stored = self.rig.platform.objects
@@ -108,7 +108,7 @@
         self.assertGreaterEqual(found.bad, result.ok)
 
     def test_violation_is_reported(self):
-        """One item without its result leaves no budget."""
+        """One item without a result uses up the exactly-once budget."""
         span = self.closed()
         stored = self.rig.platform.objects
         stored[span.results()[0].name] = b''
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -1,4 +1,4 @@
-"""Until when an entry goes by the keys that it knows."""
+"""How long an entry may use its copy of the API keys."""
 
 import unittest
 
@@ -19,49 +19,49 @@
 from cactusridge.store.table import Row
 from tests.sent_wire import Wire
 
-LASTS_S = 5.0
+LEASE_DURATION_S = 5.0
 ONE = Organisation('one')
 DIRECTORY = Directory([Holder(ONE, (key_digest('k1'),))])
 SOUND = {'version': 3, 'tenants': [{'name': 'one', 'api_keys': ['k1']}]}
 
 
 class TestKeyLease(unittest.TestCase):
-    """It is renewed by the store alone, and from the begin of a reading."""
+    """The lease is renewed by reads of the store, from their start time."""
 
     def setUp(self):
-        """Begin without any reading."""
+        """Create a lease before any read."""
         self.clock = ManualClock(50)
-        self.lease = KeyLease(self.clock, LASTS_S)
+        self.lease = KeyLease(self.clock, LEASE_DURATION_S)
 
     def test_nothing_read(self):
-        """A watch alone says nothing."""
+        """A response to a watch without an earlier read renews nothing."""
         self.lease.quiet(50)
         self.assertFalse(self.lease.valid)
 
     @params((4.7, True), (4.9, False))
     def test_counts_from_the_begin(self, after_s, valid):
-        """A reading that took long vouches for what was at its begin."""
+        """A slow read renews the lease from the time at which it started."""
         self.clock.advance(after_s)
         self.lease.read(50)
         self.assertEqual(valid, self.lease.valid)
 
     @params((4.7 - WATCH_GAP_S, True), (4.9 - WATCH_GAP_S, False))
     def test_quiet_watch(self, after_s, valid):
-        """It may have been deaf for a while."""
+        """A response to a watch renews the lease less WATCH_GAP_S."""
         self.lease.read(40)
         self.lease.quiet(50)
         self.clock.advance(after_s)
         self.assertEqual(valid, self.lease.valid)
 
     def test_never_younger(self):
-        """An older reading that comes late changes nothing."""
+        """A read that started earlier than the last one changes nothing."""
         self.lease.read(50)
         self.lease.read(45)
-        self.clock.advance(LASTS_S - MARGIN_S - 0.01)
+        self.clock.advance(LEASE_DURATION_S - MARGIN_S - 0.01)
         self.assertTrue(self.lease.valid)
 
     def test_without_a_bound(self):
-        """What was read once holds."""
+        """A lease without a duration never expires after the first read."""
         lease = KeyLease(self.clock, None)
         self.assertFalse(lease.valid)
         lease.read(50)
@@ -70,63 +70,63 @@
 
 
 class TestKeyCheck(unittest.TestCase):
-    """Whose key it is, and what is said where that is not known."""
+    """Authentication by key, and the errors for missing or unknown keys."""
 
     def setUp(self):
-        """Know one organisation."""
+        """Create a check with a valid lease."""
         self.clock = ManualClock(50)
         self.behind = False
-        lease = KeyLease(self.clock, LASTS_S)
+        lease = KeyLease(self.clock, LEASE_DURATION_S)
         lease.read(50)
         self.check = KeyCheck(lease, lambda: self.behind)
 
     def found(self, authorization):
-        """Return whose key it is."""
+        """Return the organisation of the key in ``authorization``."""
         return self.check.holder(DIRECTORY, authorization).organisation
 
     @params('Bearer k1', 'bearer  k1 ', 'BEARER k1')
     def test_known(self, authorization):
-        """The scheme is in any case."""
+        """The scheme is matched in any case."""
         self.assertEqual(ONE, self.found(authorization))
 
     @params('', 'Bearer', 'Bearer ', 'k1', 'Basic k1', 'Bearer k2', 'Bearer K1')
     def test_unknown(self, authorization):
-        """Anything else is told at once."""
+        """Missing and unknown keys raise UnknownKey."""
         with self.assertRaises(UnknownKey):
             self.found(authorization)
 
     def test_maybe_new(self):
-        """An entry that hears nothing does not call a key unknown."""
+        """An unknown key raises KeysUnsure if the catalog may be stale."""
         self.behind = True
         with self.assertRaises(KeysUnsure):
             self.found('Bearer k2')
 
     def test_lapsed(self):
-        """Known keys open nothing once they may have been taken."""
-        self.clock.advance(LASTS_S)
+        """A known key raises KeysUnsure after the lease has expired."""
+        self.clock.advance(LEASE_DURATION_S)
         with self.assertRaises(KeysUnsure):
             self.found('Bearer k1')
 
     def test_without_a_key(self):
-        """No lease is needed to refuse who has no key."""
-        self.clock.advance(LASTS_S)
+        """A missing key raises UnknownKey even without a valid lease."""
+        self.clock.advance(LEASE_DURATION_S)
         with self.assertRaises(UnknownKey):
             self.found('')
 
 
 class TestHeldConfiguration(unittest.TestCase):
-    """What the holder of the configuration keeps, and when it renews."""
+    """What the holder of the catalog stores and when it renews the lease."""
 
     def setUp(self):
-        """Hold one that can be read."""
+        """Store a readable catalog."""
         self.clock = ManualClock(50)
-        self.lease = KeyLease(self.clock, LASTS_S)
+        self.lease = KeyLease(self.clock, LEASE_DURATION_S)
         self.holder = CatalogHolder(self.lease)
         self.holder.put(Row(KEY, SOUND, 7))
         self.holder.confirmed(50, whole=True)
 
     def test_no_key_is_kept(self):
-        """What peers are told has digests only."""
+        """The catalog sent to peers contains digests instead of keys."""
         self.assertNotIn('k1', str(self.holder.raw))
         peer = CatalogHolder(KeyLease(self.clock, None))
         peer.take(self.holder.raw)
@@ -134,7 +134,7 @@
         self.assertEqual(ONE, found)
 
     def test_unreadable_row(self):
-        """It may have taken keys: nothing is renewed while it stands."""
+        """An unreadable row may revoke keys, so it stops all renewals."""
         self.clock.advance(3)
         self.holder.put(Row(KEY, {'version': 'x'}, 8))
         self.holder.confirmed(53, whole=True)
@@ -145,41 +145,41 @@
         self.assertTrue(self.lease.valid)
 
     def test_from_a_peer(self):
-        """A peer's copy renews nothing."""
-        self.clock.advance(LASTS_S)
+        """A catalog received from a peer does not renew the lease."""
+        self.clock.advance(LEASE_DURATION_S)
         self.holder.take({**SOUND, 'version': 5}, 'peer', 5)
         self.assertEqual(5, self.holder.catalog.version)
         self.assertFalse(self.lease.valid)
 
     def test_no_organisations(self):
-        """A configuration without them asks nobody for a key."""
+        """A catalog without organisations requires no keys."""
         self.holder.put(Row(KEY, {'version': 9}, 10))
         self.assertIsNone(self.holder.catalog.organisations)
 
 
-class Known(KeySource):
-    """What an entry knows of keys."""
+class FixedKeySource(KeySource):
+    """Key source with a fixed confirmation."""
 
     def __init__(self, found):
-        """Tell ``found``."""
+        """Return ``found`` as the confirmation."""
         self.found = found
 
     def confirmed(self):
-        """Return what is known."""
+        """Return the fixed confirmation."""
         return self.found
 
 
 class TestKeyQuestions(unittest.TestCase):
-    """What a peer has confirmed, and how old that is here."""
+    """Confirmations received from peers, and their age at the receiver."""
 
     def asked(self, known, way_s, back_s):
-        """Return an answer after the ways there and back, in seconds."""
+        """Return the response after delays of both datagrams, in seconds."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
         loads.heard('127.0.0.1:9', {})
         here, there = Wire(), Wire()
-        asker = KeyQuestions(here, loads, Known(None), clock)
-        KeyQuestions(there, loads, Known(known), clock)
+        asker = KeyQuestions(here, loads, FixedKeySource(None), clock)
+        KeyQuestions(there, loads, FixedKeySource(known), clock)
         answer = gevent.spawn(asker.ask)
         gevent.sleep(0)
         clock.advance(way_s)
@@ -190,27 +190,27 @@
 
     @params((0, 0, 48), (1, 0, 47), (0, 3, 48), (1, 3, 47))
     def test_never_younger(self, way_s, back_s, at):
-        """Whatever the ways take, also before it is read here."""
+        """Datagram delays never make a confirmation appear younger."""
         found = self.asked(KeysConfirmed(7, 48), way_s, back_s)
         self.assertEqual(KeysConfirmed(7, at), found)
 
     def test_no_answer(self):
-        """A peer that is silent is waited for no longer than a moment."""
+        """A request to a peer that does not respond returns None."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
         loads.heard('127.0.0.1:9', {})
-        asker = KeyQuestions(Wire(), loads, Known(None), clock)
+        asker = KeyQuestions(Wire(), loads, FixedKeySource(None), clock)
         self.assertIsNone(asker.ask())
 
     def test_nothing_to_tell(self):
-        """A peer that may not go by its keys says nothing."""
+        """A peer without a valid lease sends no confirmation."""
         self.assertIsNone(self.asked(None, 0, 0))
 
 
 class TestBearerKey(unittest.TestCase):
-    """The header by itself."""
+    """Parsing of the Authorization header."""
 
     @params(('Bearer a b', 'a b'), ('Bearer\ta', None), ('', None))
     def test_key(self, authorization, key):
-        """A scheme, a space and the key."""
+        """A header consists of the scheme, a space and the key."""
         self.assertEqual(key, bearer_key(authorization))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over fleets of any size, with losses."""
+"""Rate limits of organisations in fleets of several sizes, with failures."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 from cactusridge.organisations.token_bucket import TokenBucket
 from cactusridge.peers.limit_questions import LimitQuestions
 from tests.limits_fleet import Loss
-from tests.limits_limiters import ToldCounts, by_homes, by_shares
+from tests.limits_limiters import BroadcastCounts, by_owners, by_shares
 from tests.limits_play import play
 from tests.sent_wire import Wire
 
@@ -36,10 +36,10 @@
     (Loss(26, 2, 0.5), Loss(33, 4, 0.2)),
     (Loss(27, 1.5, 1),),
     (Loss(27, 5, 1),),
-    (Loss(26, 6, 0.2, cut=True), Loss(28, 5, 0.17, cut=True)),
-    (Loss(26, 6, 0.3, cut=True, together=True),),
-    (Loss(26, 6, 0.45, cut=True, together=True),),
-    (Loss(26, 4, 0.2, dark=True),),
+    (Loss(26, 6, 0.2, partitioned=True), Loss(28, 5, 0.17, partitioned=True)),
+    (Loss(26, 6, 0.3, partitioned=True, as_group=True),),
+    (Loss(26, 6, 0.45, partitioned=True, as_group=True),),
+    (Loss(26, 4, 0.2, powered_off=True),),
     tuple(Loss(25 + each * 0.8, 1.2 + each % 4, 0.05) for each in range(12)),
 )
 LIMIT = RateLimit(10, 10)
@@ -47,60 +47,63 @@
 
 
 class TestPlayedLimits(unittest.TestCase):
-    """What a hot organisation and its neighbours get."""
+    """Simulations in which two organisations exceed their usual rates."""
 
     @params(*LOSSES)
     def test_never_over(self, *losses):
-        """No window is over its bound, whatever is lost or cut off."""
+        """No window exceeds its bound, whichever entries fail."""
         for seed in SEEDS:
-            played = play(28, by_homes, seed, losses)
+            played = play(28, by_owners, seed, losses)
             self.assertLessEqual(played.over, 0)
 
     @params((1, 4), (28, 20), (100, 8), (300, 4))
     def test_within_the_limit(self, entries, length_s):
-        """Almost nobody within a limit is refused, at any size."""
-        played = play(entries, by_homes, 3, length_s=length_s)
-        self.assertLess(played.refused, 0.001 * played.owed + 1)
+        """Almost no request within its limit is rejected, at any size."""
+        played = play(entries, by_owners, 3, length_s=length_s)
+        self.assertLess(played.refused, 0.001 * played.within_limit + 1)
         self.assertLessEqual(played.over, 0)
 
     def test_losses_cost_little(self):
-        """Who is within a limit is served while most of three are there."""
+        """Few requests within their limits are rejected during failures.
+
+        Backup owners continue for owners whose processes have ended.
+        """
         for losses, most in ((LOSSES[1], 0.08), (LOSSES[8], 0.01)):
-            played = [play(28, by_homes, seed, losses) for seed in (7, 8)]
+            played = [play(28, by_owners, seed, losses) for seed in (7, 8)]
             refused = sum(each.refused for each in played)
-            owed = sum(each.owed for each in played)
-            self.assertLess(refused, most * owed)
+            within_limit = sum(each.within_limit for each in played)
+            self.assertLess(refused, most * within_limit)
 
     def test_messages_do_not_grow_with_the_fleet(self):
-        """A request costs four datagrams at the most."""
+        """A request costs at most about four datagrams at any fleet size."""
         for entries in (28, 100):
-            played = play(entries, by_homes, 4, length_s=4, hot=1)
-            self.assertLessEqual(played.messages, 4 * played.owed * 1.1)
+            played = play(entries, by_owners, 4, length_s=4, surge_factor=1)
+            self.assertLessEqual(played.messages, 4 * played.within_limit * 1.1)
 
     def test_against_equal_shares(self):
-        """Of equal shares most is refused that is within the limits."""
-        homes = play(28, by_homes, 5)
+        """Equal shares reject most of the requests within the limits."""
+        homes = play(28, by_owners, 5)
         shares = play(28, by_shares, 5)
-        self.assertGreater(shares.refused, 0.5 * shares.owed)
-        self.assertLess(homes.refused, 0.001 * homes.owed + 1)
+        self.assertGreater(shares.refused, 0.5 * shares.within_limit)
+        self.assertLess(homes.refused, 0.001 * homes.within_limit + 1)
 
     def test_against_told_counts(self):
-        """Counts that are told afterwards let a surge pass."""
-        self.assertGreater(play(28, ToldCounts, 6).over, 100)
-        self.assertLessEqual(play(28, by_homes, 6).over, 0)
+        """Counts that are broadcast afterwards do not stop a surge."""
+        self.assertGreater(play(28, BroadcastCounts, 6).over, 100)
+        self.assertLessEqual(play(28, by_owners, 6).over, 0)
 
 
 class TestHomes(unittest.TestCase):
-    """Who counts, when entries come and go."""
+    """Which entries count requests while entries join and leave."""
 
     def setUp(self):
-        """Let two entries be listed for long."""
+        """List two entries that have been members for a long time."""
         self.clock = ManualClock(100)
         self.is_current = True
         self.listed = [Candidate('a:1', 0), Candidate('b:1', 0)]
 
     def homes(self, own_name='a:1'):
-        """Return the homes as ``me`` sees them."""
+        """Return the owners as seen by the entry ``own_name``."""
         found = Homes(
             own_name,
             lambda: self.listed,
@@ -112,24 +115,24 @@
         return found
 
     def held(self, own_name):
-        """Return the organisations whose home an entry is."""
+        """Return the organisations of which an entry is the owner."""
         homes = self.homes(own_name)
         names = [f'o{number}' for number in range(40)]
         return {each for each in names if homes.owned_s(each) is not None}
 
     def test_one_home_each(self):
-        """Every organisation has one."""
+        """Every organisation has exactly one owner."""
         one, two = self.held('a:1'), self.held('b:1')
         self.assertEqual(40, len(one | two))
         self.assertFalse(one & two)
 
     def test_without_the_store(self):
-        """An entry that cannot renew its row counts for nobody."""
+        """An entry that cannot renew its row counts no organisation."""
         self.is_current = False
         self.assertFalse(self.held('a:1'))
 
     def test_newcomer(self):
-        """It counts only once all others have read that it is there."""
+        """A new entry counts only after all others have read its row."""
         before = self.held('a:1')
         since_ms = int(self.clock.now * MS_PER_S)
         self.listed.append(Candidate('c:1', since_ms))
@@ -142,13 +145,13 @@
         self.assertTrue(self.held('c:1'))
 
     def test_all_are_new(self):
-        """After the loss of all nobody waits."""
+        """After a restart of the whole fleet entries count at once."""
         now_ms = int(self.clock.now * MS_PER_S)
         self.listed = [Candidate(each, now_ms) for each in ('a:1', 'b:1')]
         self.assertEqual(40, len(self.held('a:1') | self.held('b:1')))
 
     def test_a_taker_starts_with_little(self):
-        """A burst is one for the fleet, not one for each home."""
+        """A new owner does not admit a full burst once more."""
         home = LimitHome(self.homes(), self.clock)
         name = next(iter(self.held('a:1')))
         asked = ASKED._replace(name=name)
@@ -156,9 +159,10 @@
         self.assertLess(sum(passed), BURST_TOLERANCE + LIMIT.burst / 2)
 
     def test_stand_in_goes_on(self):
-        """It has what the home had left once that has ended for certain.
+        """A backup owner continues with the tokens that the owner had left.
 
-        So has the next home.
+        It does so once the owner's process is known to have exited, and
+        also when it becomes the owner itself.
         """
         one, two = self.homes('a:1'), self.homes('b:1')
         self.clock.advance(10)
@@ -179,7 +183,7 @@
         self.assertTrue(other.answer(asked).wait_s)
 
     def test_newer_limit(self):
-        """A lower limit counts as soon as one question has it."""
+        """A lower limit applies from the first request that contains it."""
         home = LimitHome(self.homes(), self.clock)
         self.clock.advance(10)
         asked = ASKED._replace(name=next(iter(self.held('a:1'))))
@@ -190,10 +194,10 @@
 
 
 class TestLimiters(unittest.TestCase):
-    """Limiters by themselves."""
+    """Limiters and token buckets on their own."""
 
     def test_refusal(self):
-        """It says when there is a token again."""
+        """The error has the seconds until a token is available."""
         clock = ManualClock()
         limiter = FixedShares(lambda: 1, clock)
         organisation = Organisation('o', None, RateLimit(2, 1))
@@ -205,28 +209,28 @@
         limiter.check(organisation, 1)
 
     def test_no_limit(self):
-        """Who has none is never counted."""
+        """Requests of an organisation without a limit are not counted."""
         FixedShares(lambda: 1, ManualClock()).check(Organisation('o'), 1)
         self.assertEqual(0, NoLimits().take('o', LIMIT, 1))
 
     @params((0, 0, 1), (0.5, 0, 0.5), (0, 1, 0), (10, 0, 0))
     def test_bucket(self, after_s, tokens, wait_s):
-        """It fills at the rate."""
+        """A bucket refills at the rate of its limit."""
         bucket = TokenBucket(RateLimit(1, 2), tokens, 0)
         self.assertEqual(wait_s, bucket.take(after_s))
 
     def test_bucket_is_full_at_its_burst(self):
-        """What is not asked for is not kept."""
+        """A bucket does not collect more tokens than its burst."""
         bucket = TokenBucket(RateLimit(1, 2), 0, 0)
         taken = [not bucket.take(100) for _ in range(4)]
         self.assertEqual([True, True, False, False], taken)
 
 
 class TestLimitQuestions(unittest.TestCase):
-    """What entries ask each other, over a wire that may lose it."""
+    """Limit requests between entries over a simulated connection."""
 
     def setUp(self):
-        """Let one entry be the home of all."""
+        """Make one of two entries the owner of all organisations."""
         self.clock = ManualClock(100)
         self.wires = Wire(), Wire()
         listed = [Candidate('127.0.0.1:9', 0)]
@@ -247,7 +251,7 @@
         self.asker = questions[0]
 
     def test_answer(self):
-        """It comes back to the question that it answers."""
+        """Each response reaches the request that it belongs to."""
         here, there = self.wires
         answers = [
             gevent.spawn(self.asker.ask, '127.0.0.1:9', ASKED) for _ in range(8)
@@ -261,7 +265,7 @@
         self.assertGreater(told[-1].wait_s, 0)
 
     def test_has_ended(self):
-        """A refused connection says so; one that is taken does not."""
+        """An entry has ended if connections to it are refused."""
         server = StreamServer(('127.0.0.1', 0), lambda sock, _: sock.close())
         server.start()
         entry = f'127.0.0.1:{server.server_port}'
@@ -270,5 +274,5 @@
         self.assertTrue(self.asker.has_ended(entry))
 
     def test_silence(self):
-        """An entry that does not answer is waited for no longer."""
+        """A request to an entry that does not respond returns None."""
         self.assertIsNone(self.asker.ask('127.0.0.1:9', ASKED))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Whatever comes, a parser answers with its own error."""
+"""Parsers raise only their own errors for arbitrary input."""
 
 import json
 import unittest
@@ -21,10 +21,10 @@
 
 
 class TestParsers(unittest.TestCase):
-    """Whatever comes, a parser answers with its own error."""
+    """Parsers raise only their own errors for arbitrary input."""
 
     def test_too_many_items(self):
-        """The item over the limit is named by its line."""
+        """The error names the line of the first item over the limit."""
         cfg = BatchSettings(max_items=3)
         ingest = Ingest(cfg, MemoryObjects(), ManualClock())
         lines = [job_line(number, 'x') for number in range(4)]
@@ -32,13 +32,13 @@
             ingest.take(['\n'.join(lines).encode()])
 
     def test_the_limit_is_that_of_the_letter(self):
-        """A job may have 140,000 items."""
+        """The default limit is the required 140,000 items per job."""
         self.assertEqual(140_000, BatchSettings().max_items)
 
     @given(st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_lines(self, raw):
-        """Arbitrary bytes are a bad line."""
+        """Arbitrary bytes raise BadLine."""
         with self.assertRaises(BadLine):
             parse_line(raw, 1)
 
@@ -58,7 +58,7 @@
     )
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_nearly_good_lines(self, message):
-        """A line is an item or a bad line, nothing else."""
+        """Almost valid lines give an item or raise BadLine."""
         raw = json.dumps(message).encode()
         try:
             item = parse_line(raw, 1)
@@ -69,14 +69,14 @@
     @given(st.binary(max_size=80))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_orders(self, raw):
-        """Arbitrary bytes are no order."""
+        """Arbitrary bytes raise BadRequest when parsed as an order."""
         with self.assertRaises(BadRequest):
             parse_order(raw)
 
     @given(st.binary(max_size=80))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_frames(self, raw):
-        """Arbitrary bytes are a frame or a truncated reply."""
+        """Arbitrary bytes give a frame or raise a CactusridgeError."""
         try:
             read_frame(Bytes(raw))
         except CactusridgeError:
@@ -85,7 +85,7 @@
     @given(st.text(max_size=40))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_paths(self, text):
-        """Arbitrary text is no settings path."""
+        """Arbitrary text in a settings path raises BadRequest."""
         with self.assertRaises(BadRequest):
             paths.parse(f'/teams/{text}/')
 
@@ -106,7 +106,7 @@
     )
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_settings(self, kind, raw):
-        """Anything is checked settings or invalid settings."""
+        """Arbitrary JSON gives validated settings or InvalidSettings."""
         try:
             found = schema.validate(kind, raw)
         except schema.InvalidSettings:
@@ -115,20 +115,20 @@
 
 
 class Bytes:
-    """A source of frames over bytes."""
+    """Stream over bytes with the methods that frames are read by."""
 
     def __init__(self, raw: bytes) -> None:
         """Read from ``raw``."""
         self.raw = raw
 
     def readline(self, sep: bytes) -> bytes:
-        """Return up to ``sep``."""
+        """Return the bytes up to and including ``sep``, empty without it."""
         line, found, rest = self.raw.partition(sep)
         self.raw = rest
         return line + found if found else b''
 
     def read(self, length: int) -> bytes:
-        """Return up to ``length`` bytes."""
+        """Return at most ``length`` bytes."""
         part = self.raw[:length]
         self.raw = self.raw[length:]
         return part
--- a/tests/test_permit.py
+++ b/tests/test_permit.py
@@ -1,4 +1,4 @@
-"""Nothing is dispatched under a lease that has lapsed."""
+"""No item is dispatched under an expired lease."""
 
 import contextlib
 import unittest
@@ -23,35 +23,35 @@
 
 
 class Placer:
-    """Gives a place at once; ``on_place`` may do something first."""
+    """Placer that assigns a replica at once, after calling ``on_place``."""
 
     def __init__(self, on_place) -> None:
-        """Call ``on_place`` before each place is given."""
+        """Call ``on_place`` before each assignment."""
         self.on_place = on_place
 
     @contextlib.contextmanager
     def place(self, service, slack_s):
-        """Give a place."""
+        """Enter the context without a replica."""
         self.on_place()
         yield None
 
 
 class Dispatcher:
-    """Counts attempts; each fails as not run."""
+    """Dispatcher that counts attempts and fails each one as not run."""
 
     attempts = 0
 
     def check(self, dispatch):
-        """Hold nothing back."""
+        """Accept every dispatch."""
 
     def attempt(self, dispatch, replica):
-        """Fail, so that the item would go again."""
+        """Raise NoReplica, which makes the runner retry the item."""
         self.attempts += 1
         raise NoReplica
 
 
 def new_task() -> ItemTask:
-    """Return an item's task."""
+    """Return a task for one item."""
     return ItemTask(
         parse_line(job_line(0, 'x').encode(), 1),
         'item',
@@ -62,10 +62,10 @@
 
 
 class TestPermit(unittest.TestCase):
-    """A holder that was paused wakes up at each point."""
+    """A suspended holder resumes at different points of a dispatch."""
 
     def setUp(self):
-        """Hold a lease of ten seconds."""
+        """Create a permit with a lease of ten seconds."""
         self.clock = ManualClock()
         self.lease = Lease(CFG, self.clock, 0)
         self.span_held = Event()
@@ -74,19 +74,19 @@
         self.dispatcher = Dispatcher()
 
     def run_item(self, on_place) -> gevent.Greenlet:
-        """Run one item in a greenlet of its own."""
+        """Run one item in a new greenlet."""
         runner = ItemRunner(self.dispatcher, Placer(on_place), self.clock)
         return gevent.spawn(runner.run, new_task(), self.permit)
 
     def test_pause_while_waiting_for_a_place(self):
-        """The lease lapses between the wait and the dispatch."""
+        """An item is not sent if the lease expires while it is placed."""
         greenlet = self.run_item(lambda: self.clock.advance(60))
         gevent.sleep(0.3)
         greenlet.kill()
         self.assertEqual(0, self.dispatcher.attempts)
 
     def test_lapsed_before_it_began(self):
-        """Nothing goes out until the lease is renewed."""
+        """Under an expired lease no item is sent until it is renewed."""
         self.clock.advance(60)
         greenlet = self.run_item(lambda: None)
         gevent.sleep(0.2)
@@ -97,7 +97,7 @@
         self.assertGreater(self.dispatcher.attempts, 0)
 
     def test_lost(self):
-        """Once another holds the span the item is dropped."""
+        """An item raises LeaseLost when the span is no longer held."""
         self.span_held.clear()
         with self.assertRaises(LeaseLost):
             self.permit.check()
@@ -106,7 +106,7 @@
             greenlet.get()
 
     def test_check_says_which(self):
-        """A lapsed lease is not yet a lost one."""
+        """An expired lease raises LeaseExpired rather than LeaseLost."""
         self.clock.advance(60)
         with self.assertRaises(LeaseExpired):
             self.permit.check()
--- a/tests/test_permit_of_keys.py
+++ b/tests/test_permit_of_keys.py
@@ -1,4 +1,4 @@
-"""Leave to run a request, looked at each time that it is sent."""
+"""Permits of requests, which are checked before each attempt is sent."""
 
 import unittest
 
@@ -11,35 +11,35 @@
 from cactusridge.organisations.organisation import Organisation, RateLimit
 from cactusridge.organisations.permit import KeyPermit
 
-LASTS_S = 5.0
+LEASE_DURATION_S = 5.0
 ONE = Organisation('one', None, RateLimit(0.001, 1))
 
 
-class SlowShares(FixedShares):
-    """Takes its time, like a question that the host is suspended in."""
+class DelayedShares(FixedShares):
+    """Limiter whose calls take time, as if the host were suspended."""
 
-    slow_s = float(0)
+    delay_s = float(0)
 
     def take(self, name, limit, version):
-        """Let time pass first."""
-        self._clock.advance(self.slow_s)
+        """Advance the clock by ``delay_s`` seconds, then take a token."""
+        self._clock.advance(self.delay_s)
         return super().take(name, limit, version)
 
 
 class TestKeyPermit(unittest.TestCase):
-    """One request of an organisation that may send one."""
+    """Permits of an organisation whose limit allows a single request."""
 
     def setUp(self):
-        """Know its key."""
+        """Create a directory with the organisation's key."""
         self.clock = ManualClock(50)
-        lease = KeyLease(self.clock, LASTS_S)
+        lease = KeyLease(self.clock, LEASE_DURATION_S)
         lease.read(50)
         self.directory = Directory([Holder(ONE, ('d1',))])
-        self.limiter = SlowShares(lambda: 1, self.clock)
+        self.limiter = DelayedShares(lambda: 1, self.clock)
         self.check = KeyCheck(lease, bool)
 
     def permit(self):
-        """Return leave for one more request."""
+        """Return a permit for one more request."""
         return KeyPermit(
             KeyHolder('d1', ONE),
             lambda: self.directory,
@@ -49,7 +49,7 @@
         )
 
     def test_counted_once(self):
-        """However often it is sent."""
+        """A request that is sent several times is counted only once."""
         permit = self.permit()
         for _ in range(3):
             permit.count()
@@ -57,7 +57,7 @@
             self.permit().count()
 
     def test_given_back_once(self):
-        """A request that has not run leaves its place to one other."""
+        """A request that is returned several times frees only one token."""
         permit = self.permit()
         permit.count()
         for _ in range(3):
@@ -67,7 +67,7 @@
             self.permit().count()
 
     def test_key_is_taken_between_two_sendings(self):
-        """The next is not sent."""
+        """No further attempt is sent after the key has been revoked."""
         permit = self.permit()
         permit.check()
         self.directory = Directory([])
@@ -75,21 +75,21 @@
             permit.check()
 
     def test_key_changes_hands(self):
-        """It opens nothing for who had it before."""
+        """A key reassigned to another organisation fails the old request."""
         self.directory = Directory([Holder(Organisation('two'), ('d1',))])
         with self.assertRaises(UnknownKey):
             self.permit().check()
 
     def test_lease_ends_between_two_sendings(self):
-        """The next is not sent."""
+        """No further attempt is sent after the key lease has expired."""
         permit = self.permit()
         permit.check()
-        self.clock.advance(LASTS_S)
+        self.clock.advance(LEASE_DURATION_S)
         with self.assertRaises(KeysUnsure):
             permit.check()
 
     def test_suspended_while_it_asks(self):
-        """The key is looked at after the question too."""
-        self.limiter.slow_s = LASTS_S
+        """The key lease is checked again after the limiter has responded."""
+        self.limiter.delay_s = LEASE_DURATION_S
         with self.assertRaises(KeysUnsure):
             self.permit().count()
--- a/tests/test_span_ledger.py
+++ b/tests/test_span_ledger.py
@@ -1,4 +1,4 @@
-"""The span ledger against a naive one, with faults among the steps."""
+"""Writes to a span's row compared with a naive model, under store faults."""
 
 import unittest
 from unittest import mock
@@ -54,10 +54,10 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Holders take, commit, give back and close in any order."""
+    """Holders take, commit, hand back and close a span in any order."""
 
     def __init__(self):
-        """Start with nobody holding anything."""
+        """Start without any holder."""
         super().__init__()
         self.table = new_table()
         self.clock = ManualClock()
@@ -70,24 +70,24 @@
 
     @initialize()
     def no_pauses(self):
-        """Repeat without waiting."""
+        """Make store writes retry without a pause."""
         patch = mock.patch.object(held_span, 'FIRST_PAUSE_S', 0)
         patch.start()
         self.patches = [patch]
 
     def teardown(self):
-        """Take the patches back."""
+        """Remove the patches."""
         for patch in self.patches:
             patch.stop()
 
     @rule(faults=st.lists(st.sampled_from(FAULTS), max_size=3))
-    def trouble(self, faults):
-        """Let the next writes fail."""
+    def add_faults(self, faults):
+        """Make the next calls to the table fail with ``faults``."""
         self.table.faults.extend(faults)
 
     @rule(name=st.sampled_from(HOLDERS))
     def take(self, name):
-        """Take the span, as one does whose watch says it is free."""
+        """Take the span as if the lease watch had reported it as free."""
         row = self.table.read([self.key()], Priority.lease)[0]
         if row.value is None:
             return
@@ -98,34 +98,34 @@
             parse_span(row),
             row.version,
         )
-        if self.ends(lambda: found.take(name, [0]), False):
+        if self.took_effect(lambda: found.take(name, [0]), False):
             self.held[name] = found
             self.holder = name
 
     @rule(name=st.sampled_from(HOLDERS), chunk=st.integers(0, CHUNKS - 1))
     def commit(self, name, chunk):
-        """Commit a chunk, as a holder or as one that was."""
+        """Commit a chunk as the current or a former holder."""
         held = self.held.get(name)
         if held is None or str(chunk) in held.span.done:
             return
         self.serial += 1
         found = ChunkResult(f'o{self.serial}', 1, 1, 1, 0)
-        if self.ends(lambda: held.commit(chunk, found, []), name):
+        if self.took_effect(lambda: held.commit(chunk, found, []), name):
             self.done[str(chunk)] = list(found)
 
     @rule(name=st.sampled_from(HOLDERS))
     def renew(self, name):
-        """Renew a lease."""
+        """Renew the lease as the current or a former holder."""
         held = self.held.get(name)
         if held is not None:
-            self.ends(held.renew, name)
+            self.took_effect(held.renew, name)
 
     @rule(name=st.sampled_from(HOLDERS))
     def hand_back(self, name):
-        """Give a lease up."""
+        """Hand the lease back as the current or a former holder."""
         held = self.held.get(name)
         if held is not None:
-            self.ends(held.hand_back, name)
+            self.took_effect(held.hand_back, name)
 
     @rule()
     def cancel(self):
@@ -137,7 +137,7 @@
 
     @rule(name=st.sampled_from(HOLDERS))
     def close(self, name):
-        """Close the span, as a holder or as one that was."""
+        """Close the span as the current or a former holder."""
         held = self.held.get(name)
         if held is None:
             return
@@ -153,14 +153,14 @@
 
     @invariant()
     def results_are_the_naive_ones(self):
-        """What is stored is what the naive ledger has."""
+        """The stored results are those of the naive model."""
         key = done_key('j', 0) if self.closed else self.key()
         row = self.table.read([key], Priority.commit)[0]
         assert row.value['done'] == self.done
 
     @invariant()
     def closed_once(self):
-        """The job counts the span once, with the naive counts."""
+        """The job's progress counts the span once, as the model does."""
         key = progress_key('j')
         progress = self.table.read([key], Priority.commit)[0].value
         assert progress['spans'] == int(self.closed)
@@ -171,8 +171,12 @@
         """Return the key of the open span."""
         return HeldSpan(CFG, self.table, self.clock, SPAN, 0).key
 
-    def ends(self, action, name):
-        """Run an action; tell whether it took effect, as it should."""
+    def took_effect(self, action, name):
+        """Run ``action`` as holder ``name``; return whether it took effect.
+
+        Checks the result against the model. With False as ``name`` the
+        action may be run by any holder.
+        """
         should = name is False or self.holder == name
         try:
             action()
@@ -196,14 +200,14 @@
 
 
 class TestLedger(LedgerMachine.TestCase):
-    """Runs the machine."""
+    """Runs the state machine."""
 
 
 class TestTwoHolders(unittest.TestCase):
-    """One that lost its lease and does not know it."""
+    """A holder that has lost its lease without having noticed."""
 
     def test_the_first_holder_commits_nothing_more(self):
-        """Its writes fail; the second holder's stand."""
+        """The first holder's writes fail; the second's result remains."""
         table = new_table()
         clock = ManualClock()
         first = HeldSpan(CFG, table, clock, SPAN, table.store.version)
@@ -221,7 +225,7 @@
         self.assertEqual({'0': list(found)}, row.value['done'])
 
     def test_lease_passes_before_another_may_take_it(self):
-        """The holder's deadline is earlier than the others' patience."""
+        """The holder's lease expires before others may take the span."""
         clock = ManualClock()
         table = new_table()
         held = HeldSpan(CFG, table, clock, SPAN, table.store.version)
--- a/tests/test_spoilt_batch.py
+++ b/tests/test_spoilt_batch.py
@@ -1,4 +1,4 @@
-"""Rows of the product's own batch jobs that cannot be read."""
+"""Unreadable rows of batch jobs are reported and never overwritten."""
 
 import unittest
 
@@ -76,7 +76,7 @@
 
 
 class SpoiltBatchCase(unittest.TestCase):
-    """A job with one span over a table that others write too."""
+    """A job with one span in a table whose rows the tests can corrupt."""
 
     def setUp(self):
         """Store the rows of the job."""
@@ -94,7 +94,7 @@
         self.table.transact([], writes, REPORT)
 
     def check_refused(self, act):
-        """Check that something fails as unreadable and writes nothing."""
+        """Check that ``act`` fails as unreadable_record and writes nothing."""
         before = self.table.store.version
         with self.assertRaises(CactusridgeError) as caught:
             act()
@@ -104,11 +104,11 @@
 
 
 class TestSpoiltBatch(SpoiltBatchCase):
-    """Jobs, their counts and their spans."""
+    """Unreadable rows of jobs, progress, cancellations and spans."""
 
     @params(*spoilings(JOB._asdict(), ('job_class',)))
     def test_job(self, name, value):
-        """No caller hears that the job is gone; the others are listed."""
+        """An unreadable job is not reported as missing; others are listed."""
         other = JOB._replace(id='k')._asdict()
         self.table.spoil(job_key('t', 'k'), other)
         self.table.spoil(job_key('t', 'j'), value)
@@ -119,20 +119,20 @@
 
     @params(*spoilings(Progress(0, 0, 0, 0.5)._asdict()))
     def test_progress(self, name, value):
-        """Nobody counts anew what is counted there."""
+        """Unreadable progress is neither reported nor overwritten."""
         self.table.spoil(progress_key('j'), value)
         self.check_refused(lambda: self.reader.status(JOB))
         self.check_refused(lambda: self.held.close(cancelled=False))
 
     @params(*spoilings({'when': 0.5}))
     def test_cancel(self, name, value):
-        """A job that may be cancelled is not shown as one that goes on."""
+        """A job with an unreadable cancel row is not shown as in progress."""
         self.table.spoil(cancel_key('j'), value)
         self.check_refused(lambda: self.reader.status(JOB))
 
     @params(*spoilings(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
     def test_span(self, name, value):
-        """No count or result is shown without it; its holder has lost it."""
+        """An unreadable span makes reads fail, and its holder loses it."""
         self.table.spoil(self.held.key, value)
         self.check_refused(lambda: self.reader.status(JOB))
         self.check_refused(lambda: list(self.reader.spans(JOB)))
@@ -141,27 +141,27 @@
 
     @params(*spoilings(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
     def test_closed_span(self, name, value):
-        """Nor is a closed one written over."""
+        """An unreadable closed span makes reads of the results fail."""
         self.table.store.apply([[self.held.key, None]])
         self.table.spoil(done_key('j', 0), value)
         self.check_refused(lambda: list(self.reader.spans(JOB)))
 
 
 class TestSpoiltDone(SpoiltBatchCase):
-    """The row of a closed span whose bytes cannot be read."""
+    """The row of a closed span contains bytes that are not JSON."""
 
     def test_close(self):
-        """It is not written over."""
+        """Closing a span does not overwrite an unreadable closed row."""
         self.table.spoil(done_key('j', 0))
         self.check_refused(lambda: self.held.close(cancelled=False))
 
 
 class TestSpoiltHours(unittest.TestCase):
-    """Merged hours of the report."""
+    """Rows of merged hours in the history of objectives."""
 
     @params(*spoilings({'object': 'name'}))
     def test_hour(self, name, value):
-        """One costs itself alone, and so does a foreign key."""
+        """An unreadable or foreign row does not hide the other hours."""
         table = SpoiltTable()
         for hour in (3600, 7200):
             table.spoil(hour_key(hour), {'object': f'{hour}'})
@@ -172,15 +172,16 @@
 
 
 class TestSpoiltScan(RigCase):
-    """Entries that look for open spans."""
+    """Entries that scan for open spans."""
 
     @params({}, {'holder': ''}, {'holder': 5}, [1], 5, 'text')
     def test_other_jobs_go_on(self, value):
-        """A row that is no span keeps nobody from those that are."""
+        """A row that is not a valid span does not stop the other spans."""
         rows = self.rig.platform.table
         shards = self.rig.entries[0].subject.parts.cfg.batch.shards
         for number in range(shards):
-            # Not a commit of ours: the history below has none of it.
+            # Written directly, so that the row is not in the commit history
+            # that is checked below.
             rows._put(f'spans/{number:03}/odd/00000', value)
         job = self.submit(['a', 'b'])
         self.wait_state(job, 'completed')
