--- a/cactusridge/batch/audit.py
+++ b/cactusridge/batch/audit.py
@@ -20,7 +20,7 @@
     result that the input does not contain are bad; a result object that is
     missing or unreadable counts as no result. Raises StoreUnavailable.
     """
-    wanted = _ids(
+    input_ids = _count_ids(
         objects.get(
             span.segment,
             span.offsets[0],
@@ -28,14 +28,14 @@
             Priority.report,
         ),
     )
-    found = Counter[str]()
+    output_ids = Counter[str]()
     for result in span.results():
-        found.update(_ids(_stored(objects, result.name)))
+        output_ids.update(_count_ids(_stored(objects, result.name)))
     bad = sum(
-        found[custom_id] != wanted[custom_id]
-        for custom_id in wanted.keys() | found.keys()
+        output_ids[custom_id] != input_ids[custom_id]
+        for custom_id in input_ids.keys() | output_ids.keys()
     )
-    return Quantity(len(wanted) - min(bad, len(wanted)), bad)
+    return Quantity(len(input_ids) - min(bad, len(input_ids)), bad)
 
 
 def _stored(objects: ObjectStore, name: str) -> bytes:
@@ -46,7 +46,7 @@
         return b''
 
 
-def _ids(raw: bytes) -> Counter[str]:
+def _count_ids(raw: bytes) -> Counter[str]:
     return Counter(map(_id_in, raw.splitlines()))
 
 
--- a/cactusridge/batch/job_store.py
+++ b/cactusridge/batch/job_store.py
@@ -85,21 +85,21 @@
         self._clock = clock
         self._reader = RowReader()
 
-    def accept(self, asked: Submission) -> Job:
+    def accept(self, submission: Submission) -> Job:
         """Accept a job and return it once its rows are in the table.
 
         A repeated submission returns the job that was stored first. Raises
         IdempotencyMismatch if the key was used with another body, and
         OutcomeUnknown if it cannot be confirmed that the job is stored.
         """
-        job = self._job(asked)
-        key = job_key(asked.team, job.id)
+        job = self._job(submission)
+        key = job_key(submission.team, job.id)
         row = self._table.read([key], Priority.acceptance)[0]
         if row.absent:
             writes = [
                 Write(key, job._asdict()),
                 Write(progress_key(job.id), Progress()._asdict()),
-                *self._span_writes(job, asked),
+                *self._span_writes(job, submission),
             ]
             insert_once(self._table, [Condition(key, ABSENT)], writes)
             row = self._table.read([key], Priority.acceptance)[0]
@@ -158,31 +158,31 @@
         logs.emit(events.JOB_CANCELLED, job=name)
         return job
 
-    def _job(self, asked: Submission) -> Job:
+    def _job(self, submission: Submission) -> Job:
         now = self._clock.wall()
         due = due_of(
-            asked.body.get('completion_window'),
-            asked.job_settings,
+            submission.body.get('completion_window'),
+            submission.job_settings,
             now,
         )
         return Job(
-            id=job_id(asked.team, asked.key),
-            team=asked.team,
-            file=asked.manifest.id,
-            service=asked.service.path,
-            model=asked.manifest.model,
-            url=asked.manifest.url,
+            id=job_id(submission.team, submission.key),
+            team=submission.team,
+            file=submission.manifest.id,
+            service=submission.service.path,
+            model=submission.manifest.model,
+            url=submission.manifest.url,
             window=due.window,
             due=due.at,
             created=now,
-            items=asked.manifest.items,
-            spans=len(asked.manifest.segments),
-            digest=body_digest(asked.body),
-            metadata=asked.body.get('metadata') or {},
-            job_class=asked.job_class,
+            items=submission.manifest.items,
+            spans=len(submission.manifest.segments),
+            digest=body_digest(submission.body),
+            metadata=submission.body.get('metadata') or {},
+            job_class=submission.job_class,
         )
 
-    def _span_writes(self, job: Job, asked: Submission) -> list[Write]:
+    def _span_writes(self, job: Job, submission: Submission) -> list[Write]:
         spans = [
             Span(
                 job=job.id,
@@ -195,9 +195,9 @@
                 items=segment.items,
                 due=job.due,
                 created=job.created,
-                repeatable=asked.service.settings.repeatable,
+                repeatable=submission.service.settings.repeatable,
             )
-            for number, segment in enumerate(asked.manifest.segments)
+            for number, segment in enumerate(submission.manifest.segments)
         ]
         return [
             Write(
--- a/cactusridge/organisations/limit_ask.py
+++ b/cactusridge/organisations/limit_ask.py
@@ -53,7 +53,7 @@
     """Sends limit requests to other entries."""
 
     @abc.abstractmethod
-    def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
+    def ask(self, entry: str, request: LimitAsk) -> LimitTold | None:
         """Return the response of ``entry``, or None after a timeout."""
 
     @abc.abstractmethod
--- a/cactusridge/organisations/limit_home.py
+++ b/cactusridge/organisations/limit_home.py
@@ -25,7 +25,7 @@
 BACKUP_RATE_SHARE = 0.02
 
 
-class _Count:
+class _VersionedBucket:
     """A token bucket and the catalog version that its limit is from."""
 
     def __init__(self, bucket: TokenBucket, version: int) -> None:
@@ -51,9 +51,9 @@
         self._homes = homes
         self._clock = clock
         self._changes = homes.changes
-        self._owned_counts: dict[str, _Count] = {}
-        self._backup_copies: dict[str, _Count] = {}
-        self._backup_counts: dict[str, _Count] = {}
+        self._owned_counts: dict[str, _VersionedBucket] = {}
+        self._backup_copies: dict[str, _VersionedBucket] = {}
+        self._backup_counts: dict[str, _VersionedBucket] = {}
         self._counted_listener: Callable[[LimitCopy], None] | None = None
 
     def on_counted(self, listener: Callable[[LimitCopy], None]) -> None:
@@ -63,17 +63,17 @@
         """
         self._counted_listener = listener
 
-    def answer(self, asked: LimitAsk) -> LimitTold:
+    def answer(self, request: LimitAsk) -> LimitTold:
         """Count a request if this entry is the owner or a backup owner.
 
         Otherwise the response has ``counted`` set to False.
         """
         self._drop_foreign_counts()
-        owned_s = self._homes.owned_s(asked.name)
+        owned_s = self._homes.owned_s(request.name)
         if owned_s is not None:
-            return self._count_as_owner(asked, owned_s)
-        if asked.stand_in:
-            return self._count_as_backup(asked)
+            return self._count_as_owner(request, owned_s)
+        if request.stand_in:
+            return self._count_as_backup(request)
         return NOT_COUNTED
 
     def give_back(self, name: str) -> None:
@@ -92,49 +92,53 @@
         known = self._backup_copies.get(copy.name)
         if known is None:
             bucket = TokenBucket(limit, copy.tokens, now)
-            self._backup_copies[copy.name] = _Count(bucket, copy.version)
+            self._backup_copies[copy.name] = _VersionedBucket(
+                bucket, copy.version
+            )
             return
         _apply_version(known, limit, copy.version, now)
         known.bucket.lower_to(copy.tokens, now)
 
-    def _count_as_owner(self, asked: LimitAsk, owned_s: float) -> LimitTold:
+    def _count_as_owner(self, request: LimitAsk, owned_s: float) -> LimitTold:
         """Count a request as the owner.
 
         ``owned_s`` is the number of seconds since this entry became owner.
         """
         now = self._clock.monotonic()
-        limit = _with_tolerance(asked.limit)
-        found = self._owned_counts.get(asked.name)
+        limit = _with_tolerance(request.limit)
+        found = self._owned_counts.get(request.name)
         if found is None:
-            found = self._backup_copies.pop(asked.name, None)
+            found = self._backup_copies.pop(request.name, None)
         if found is None:
             first = BURST_TOLERANCE + limit.rate_per_s * (
                 TAKEOVER_START_S + owned_s
             )
             bucket = TokenBucket(limit, min(limit.burst, first), now)
-            found = _Count(bucket, asked.version)
-        self._owned_counts[asked.name] = found
-        _apply_version(found, limit, asked.version, now)
+            found = _VersionedBucket(bucket, request.version)
+        self._owned_counts[request.name] = found
+        _apply_version(found, limit, request.version, now)
         wait_s = found.bucket.take(now)
         if self._counted_listener is not None:
             tokens = found.bucket.tokens
-            copy = LimitCopy(asked.name, asked.limit, asked.version, tokens)
+            copy = LimitCopy(
+                request.name, request.limit, request.version, tokens
+            )
             self._counted_listener(copy)
         return LimitTold(counted=True, wait_s=wait_s)
 
-    def _count_as_backup(self, asked: LimitAsk) -> LimitTold:
+    def _count_as_backup(self, request: LimitAsk) -> LimitTold:
         """Count a request as a backup owner of an unresponsive owner."""
         now = self._clock.monotonic()
-        found = self._backup_copies.get(asked.name) if asked.alone else None
-        limit = _with_tolerance(asked.limit)
+        found = self._backup_copies.get(request.name) if request.alone else None
+        limit = _with_tolerance(request.limit)
         if found is None:
-            found = self._backup_counts.get(asked.name)
-            limit = _backup_limit(asked.limit)
+            found = self._backup_counts.get(request.name)
+            limit = _backup_limit(request.limit)
         if found is None:
             bucket = TokenBucket(limit, limit.burst, now)
-            found = _Count(bucket, asked.version)
-            self._backup_counts[asked.name] = found
-        _apply_version(found, limit, asked.version, now)
+            found = _VersionedBucket(bucket, request.version)
+            self._backup_counts[request.name] = found
+        _apply_version(found, limit, request.version, now)
         return LimitTold(counted=True, wait_s=found.bucket.take(now))
 
     def _drop_foreign_counts(self) -> None:
@@ -156,7 +160,7 @@
 
 
 def _apply_version(
-    count: _Count, limit: RateLimit, version: int, now: float
+    count: _VersionedBucket, limit: RateLimit, version: int, now: float
 ) -> None:
     """Switch ``count`` to ``limit`` if ``version`` is newer."""
     if version > count.version:
--- a/tests/limits_limiters.py
+++ b/tests/limits_limiters.py
@@ -15,13 +15,13 @@
         self._entry = entry
         self._fleet = entry.fleet
 
-    def ask(self, entry, asked):
+    def ask(self, entry, request):
         """Return the response, or None if the other entry is unreachable."""
         self._fleet.messages += 2
         other = self._fleet.by_name[entry]
         if not self._entry.reaches(other):
             return None
-        return other.home.answer(asked)
+        return other.home.answer(request)
 
     def has_ended(self, entry):
         """Return whether the entry's host is reachable but refuses."""
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -172,7 +172,7 @@
 class TestKeyQuestions(unittest.TestCase):
     """Confirmations received from peers, and their age at the receiver."""
 
-    def asked(self, known, way_s, back_s):
+    def confirmation_from(self, known, way_s, back_s):
         """Return the response after delays of both datagrams, in seconds."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
@@ -191,7 +191,7 @@
     @params((0, 0, 48), (1, 0, 47), (0, 3, 48), (1, 3, 47))
     def test_never_younger(self, way_s, back_s, at):
         """Datagram delays never make a confirmation appear younger."""
-        found = self.asked(KeysConfirmed(7, 48), way_s, back_s)
+        found = self.confirmation_from(KeysConfirmed(7, 48), way_s, back_s)
         self.assertEqual(KeysConfirmed(7, at), found)
 
     def test_no_answer(self):
@@ -204,7 +204,7 @@
 
     def test_nothing_to_tell(self):
         """A peer without a valid lease sends no confirmation."""
-        self.assertIsNone(self.asked(None, 0, 0))
+        self.assertIsNone(self.confirmation_from(None, 0, 0))
 
 
 class TestBearerKey(unittest.TestCase):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -43,7 +43,7 @@
     tuple(Loss(25 + each * 0.8, 1.2 + each % 4, 0.05) for each in range(12)),
 )
 LIMIT = RateLimit(10, 10)
-ASKED = LimitAsk('o', LIMIT, 1)
+REQUEST = LimitAsk('o', LIMIT, 1)
 
 
 class TestPlayedLimits(unittest.TestCase):
@@ -154,8 +154,8 @@
         """A new owner does not admit a full burst once more."""
         home = LimitHome(self.homes(), self.clock)
         name = next(iter(self.held('a:1')))
-        asked = ASKED._replace(name=name)
-        passed = [not home.answer(asked).wait_s for _ in range(40)]
+        request = REQUEST._replace(name=name)
+        passed = [not home.answer(request).wait_s for _ in range(40)]
         self.assertLess(sum(passed), BURST_TOLERANCE + LIMIT.burst / 2)
 
     def test_stand_in_goes_on(self):
@@ -168,27 +168,27 @@
         self.clock.advance(10)
         home, other = LimitHome(one, self.clock), LimitHome(two, self.clock)
         home.on_counted(other.copied)
-        asked = ASKED._replace(name=next(iter(self.held('a:1'))))
+        request = REQUEST._replace(name=next(iter(self.held('a:1'))))
         for _ in range(8):
-            self.assertEqual(0, home.answer(asked).wait_s)
-        stood_in = asked._replace(stand_in=True)
-        passed = [not other.answer(stood_in).wait_s for _ in range(40)]
+            self.assertEqual(0, home.answer(request).wait_s)
+        backup_request = request._replace(stand_in=True)
+        passed = [not other.answer(backup_request).wait_s for _ in range(40)]
         self.assertEqual(BACKUP_BURST, sum(passed))
-        stood_in = stood_in._replace(alone=True)
-        self.assertFalse(other.answer(asked).counted)
-        passed = [not other.answer(stood_in).wait_s for _ in range(40)]
+        backup_request = backup_request._replace(alone=True)
+        self.assertFalse(other.answer(request).counted)
+        passed = [not other.answer(backup_request).wait_s for _ in range(40)]
         self.assertEqual(LIMIT.burst + BURST_TOLERANCE - 8, sum(passed))
         self.listed = [Candidate('b:1', 0)]
         two.look()
-        self.assertTrue(other.answer(asked).wait_s)
+        self.assertTrue(other.answer(request).wait_s)
 
     def test_newer_limit(self):
         """A lower limit applies from the first request that contains it."""
         home = LimitHome(self.homes(), self.clock)
         self.clock.advance(10)
-        asked = ASKED._replace(name=next(iter(self.held('a:1'))))
-        home.answer(asked)
-        lower = asked._replace(limit=RateLimit(1, 1), version=2)
+        request = REQUEST._replace(name=next(iter(self.held('a:1'))))
+        home.answer(request)
+        lower = request._replace(limit=RateLimit(1, 1), version=2)
         passed = [not home.answer(lower).wait_s for _ in range(20)]
         self.assertEqual(1 + BURST_TOLERANCE, sum(passed))
 
@@ -254,15 +254,16 @@
         """Each response reaches the request that it belongs to."""
         here, there = self.wires
         answers = [
-            gevent.spawn(self.asker.ask, '127.0.0.1:9', ASKED) for _ in range(8)
+            gevent.spawn(self.asker.ask, '127.0.0.1:9', REQUEST)
+            for _ in range(8)
         ]
         gevent.sleep(0)
         here.pass_on(there)
         there.pass_on(here)
-        told = [each.get() for each in answers]
-        self.assertTrue(all(each.counted for each in told))
-        self.assertEqual(0, told[0].wait_s)
-        self.assertGreater(told[-1].wait_s, 0)
+        replies = [each.get() for each in answers]
+        self.assertTrue(all(each.counted for each in replies))
+        self.assertEqual(0, replies[0].wait_s)
+        self.assertGreater(replies[-1].wait_s, 0)
 
     def test_has_ended(self):
         """An entry has ended if connections to it are refused."""
@@ -275,4 +276,4 @@
 
     def test_silence(self):
         """A request to an entry that does not respond returns None."""
-        self.assertIsNone(self.asker.ask('127.0.0.1:9', ASKED))
+        self.assertIsNone(self.asker.ask('127.0.0.1:9', REQUEST))
