--- a/tests/machine_case.py
+++ b/tests/machine_case.py
@@ -1,4 +1,4 @@
-"""A test case over entries before the machines' stand-ins."""
+"""A test case with entry processes, a stand-in store and replicas."""
 
 import tempfile
 import unittest
@@ -28,11 +28,11 @@
             self.site.start_entry(name)
 
     def runs(self, request_id: str) -> int:
-        """Return how often replicas ran a request."""
+        """Return how many times replicas ran a request."""
         return sum(each.runs[request_id] for each in self.site.replicas)
 
     def wait_done(self, entry: str, job: str, count: int) -> list[str]:
-        """Wait until all items are listed; return their ids in order."""
+        """Wait until ``count`` results are listed; return their ids."""
         wait_for(
             f'{count} results of {job}',
             lambda: len(self.site.results(entry, job)) == count,
--- a/tests/test_connection_lost.py
+++ b/tests/test_connection_lost.py
@@ -1,4 +1,4 @@
-"""A connection that the kernel gives up, told apart from a quiet one."""
+"""Tests that a broken connection is distinguished from a silent one."""
 
 import errno
 import unittest
@@ -21,31 +21,31 @@
         b'\r\n',
     ),
 )
-GIVEN_UP = TimeoutError(errno.ETIMEDOUT, 'Connection timed out')
-WAIT_OVER = TimeoutError('timed out')
-NOTHING_THERE = BlockingIOError(errno.EAGAIN, 'try again')
+KERNEL_TIMEOUT = TimeoutError(errno.ETIMEDOUT, 'Connection timed out')
+READ_TIMEOUT = TimeoutError('timed out')
+NO_DATA = BlockingIOError(errno.EAGAIN, 'try again')
 
 
 class ScriptedSocket:
-    """Returns or raises what it was given, one thing a read."""
+    """A socket whose reads return or raise the steps of a script."""
 
     def __init__(self, *script):
-        """Follow ``script``."""
+        """Use one step of ``script`` for each read."""
         self._script = list(script)
         self.closed = False
 
     def settimeout(self, timeout_s):
-        """Take any timeout."""
+        """Ignore the timeout."""
 
     def recv(self, size):
-        """Return or raise the next thing."""
+        """Return or raise the next step."""
         step = self._script.pop(0)
         if isinstance(step, Exception):
             raise step
         return step
 
     def close(self):
-        """Note that the connection was closed."""
+        """Record that the socket was closed."""
         self.closed = True
 
 
@@ -58,25 +58,25 @@
 
 
 class TestConnectionLost(unittest.TestCase):
-    """What is broken fails its replica at once; what is quiet does not."""
+    """A broken connection fails at once; a silent one may be read again."""
 
     @params(
-        (GIVEN_UP, OutcomeUnknown),
-        (WAIT_OVER, UpstreamSilent),
-        (NOTHING_THERE, UpstreamSilent),
+        (KERNEL_TIMEOUT, OutcomeUnknown),
+        (READ_TIMEOUT, UpstreamSilent),
+        (NO_DATA, UpstreamSilent),
     )
     def test_before_the_head(self, failure, expected):
-        """A connection given up has an unknown outcome, not a silence."""
+        """A connection that the kernel breaks leaves an unknown outcome."""
         exchange = _exchange(failure)
         with self.assertRaises(expected):
             exchange.head(WAIT_S)
 
     @params(
-        (GIVEN_UP, TruncatedReply),
-        (WAIT_OVER, UpstreamSilent),
+        (KERNEL_TIMEOUT, TruncatedReply),
+        (READ_TIMEOUT, UpstreamSilent),
     )
     def test_within_the_body(self, failure, expected):
-        """A body whose connection is given up is cut."""
+        """A body whose connection the kernel breaks is truncated."""
         exchange = _exchange(HEAD, failure)
         exchange.head(WAIT_S)
         with self.assertRaises(expected):
--- a/tests/test_keys_on_machines.py
+++ b/tests/test_keys_on_machines.py
@@ -1,4 +1,4 @@
-"""Organisations, their keys and limits, at entries as processes."""
+"""Tests of API keys and limits of organisations with entry processes."""
 
 import base64
 import signal
@@ -11,8 +11,8 @@
 from standins.waiting import wait_for
 from tests.machine_case import MachineCase
 
-OPEN = {'name': 'open', 'path_prefix': '/open/', 'kind': 'streaming'}
-OPEN_JOBS = {
+PUBLIC_ROUTE = {'name': 'open', 'path_prefix': '/open/', 'kind': 'streaming'}
+PUBLIC_JOBS_ROUTE = {
     'name': 'open-jobs',
     'path_prefix': '/lots/',
     'kind': 'batch',
@@ -24,23 +24,24 @@
 TWO = {'name': 'two', 'api_keys': ['k2'], 'rate_per_s': 1, 'burst': 4}
 REVOKE_S = 4.0
 APPLY_S = 0.5
-# Windows of a limit, and what it may be exceeded by in one.
+# Shortest window in which requests are counted, in seconds, and the number of
+# requests by which a limit may be exceeded in it.
 WINDOW_S = 5
-SLACK = 20
+MAX_EXCESS = 20
 
 
 class KeysCase(MachineCase):
-    """Two organisations; the second has a limit."""
+    """Starts entries with two organisations; the second has a limit."""
 
     def setUp(self):
-        """Start entries that lease what they know of keys."""
+        """Start the entries and configure the organisations."""
         super().setUp()
         self.configure(ONE, TWO)
         self.number = 0
 
     def configure(self, *holders):
-        """Put organisations in force."""
-        routes = [*ROUTES, {**OPEN, 'public': True}]
+        """Configure organisations and wait until they are in force."""
+        routes = [*ROUTES, {**PUBLIC_ROUTE, 'public': True}]
         self.site.configure(routes, holders)
         gevent.sleep(APPLY_S)
 
@@ -58,7 +59,7 @@
         return found[0], f'r{self.number}'
 
     def seen(self, request_id):
-        """Return the headers that a replica got, names in lower case."""
+        """Return the headers that a replica received, in lower case."""
         found = [
             each.seen[request_id]
             for each in self.site.replicas
@@ -68,11 +69,11 @@
 
 
 class TestKeys(KeysCase):
-    """Who is let in, and as whom."""
+    """Which keys are accepted, and for which organisation."""
 
     @params(('k1', 'one'), ('k1b', 'one'), ('k2', 'two'))
     def test_organisation(self, key, name):
-        """Replicas are told its name, never the key or what callers say."""
+        """Replicas receive its name, not the key or a caller's own claim."""
         claimed = {'x-tenant': 'else', 'X-Tenant': 'else'}
         status, request_id = self.send('one', key, more=claimed)
         self.assertEqual(200, status)
@@ -82,13 +83,13 @@
 
     @params('', 'k3')
     def test_unknown_key(self, key):
-        """It is refused at once, and not run."""
+        """A request without a known key is rejected and not run."""
         status, request_id = self.send('one', key)
         self.assertEqual(401, status)
         self.assertEqual(0, self.runs(request_id))
 
     def test_public_route(self):
-        """Nobody needs a key there, and no name is told."""
+        """A public route needs no key and sends no organisation."""
         for key in ('', 'k1', 'k3'):
             status, request_id = self.send('one', key, '/open/')
             self.assertEqual(200, status)
@@ -96,7 +97,7 @@
             self.assertFalse({'x-tenant', 'authorization'} & set(seen))
 
     def test_key_taken_away_and_added(self):
-        """Both are in force at every entry soon after."""
+        """Removed and added keys take effect at every entry soon after."""
         self.configure({**ONE, 'api_keys': ['k1b']}, TWO, {**ONE, 'name': 'x'})
         self.configure({**ONE, 'api_keys': ['k1b', 'k9']}, TWO)
         for entry in self.entries:
@@ -105,11 +106,11 @@
             self.assertEqual(200, self.send(entry, 'k9')[0])
 
     def test_job(self):
-        """Its items run under its organisation, whose alone it is."""
+        """A job runs for its organisation and is hidden from others."""
         mine = {'Authorization': 'Bearer k1'}
         status = self.site.submit('one', 'j1', ['2', '2 0.3'], mine)
         self.assertEqual(202, status)
-        # The key goes; the job does not.
+        # The key is removed, but the job remains.
         self.configure({**ONE, 'api_keys': ['k1b']}, TWO)
         target = '/api/lots/j1?after=0'
         for key, found in (('k1', 401), ('k2', 404), ('', 401), ('k1b', 200)):
@@ -124,9 +125,9 @@
             self.assertEqual('one', self.seen(item)['x-tenant'])
 
     def test_job_of_a_public_route(self):
-        """Nobody needs a key, and none that is sent is kept."""
+        """A public batch route needs no key and stores none."""
         routes = [each for each in ROUTES if each['name'] != 'lots']
-        self.site.configure([*routes, OPEN_JOBS], [ONE, TWO])
+        self.site.configure([*routes, PUBLIC_JOBS_ROUTE], [ONE, TWO])
         gevent.sleep(APPLY_S)
         secret = {'Authorization': 'Bearer k1'}
         self.site.item_headers = secret
@@ -142,7 +143,7 @@
         self.assertNotIn('k1', kept)
 
     def test_body_of_an_item(self):
-        """Another organisation finds none."""
+        """An item body is hidden from other organisations."""
         mine = {'Authorization': 'Bearer k1'}
         self.site.submit('one', 'j2', ['9 1'], mine)
         target = '/api/items/j2?id=j2-0'
@@ -152,7 +153,7 @@
             self.assertEqual(status, answer[0])
 
     def test_id_of_another_job(self):
-        """A submission under another's id is no resend."""
+        """A submission with the id of another organisation's job fails."""
         mine = {'Authorization': 'Bearer k1'}
         other = {'Authorization': 'Bearer k2'}
         self.assertEqual(202, self.site.submit('one', 'j3', ['1'], mine))
@@ -161,10 +162,10 @@
 
 
 class TestTakenKeys(KeysCase):
-    """Keys that are taken away while an entry is cut off from the store."""
+    """Keys that are removed while an entry cannot reach the store."""
 
     def setUp(self):
-        """Lease keys for a short time."""
+        """Restart the entries with a short lease on keys."""
         super().setUp()
         for name in self.entries:
             self.site.entries[name].kill()
@@ -174,16 +175,17 @@
             self.site.start_entry(name)
 
     def cut(self, name):
-        """Cut an entry off from the store, its peers not."""
+        """Disconnect an entry from the store but not from its peers."""
         link = self.site.store_links[name]
         link.refusing = True
         link.silence()
 
     @params(True, False)
     def test_entry_that_is_cut_off(self, alone):
-        """It refuses in time, says it has not run, and serves the rest.
+        """An entry without the store stops accepting a removed key in time.
 
-        Where a peer has the store, keys that still open go on opening.
+        If a peer has the store, remaining keys stay valid. Otherwise requests
+        with a key are rejected with 503. A public route works in both cases.
         """
         self.cut('one')
         if alone:
@@ -202,7 +204,7 @@
         self.assertEqual(200, self.send('one', '', '/open/')[0])
 
     def test_entry_that_was_frozen(self):
-        """What it knew has grown old meanwhile, also before it reads."""
+        """A resumed entry rejects a removed key before it reads the store."""
         process = self.site.entries['one'].process
         process.send_signal(signal.SIGSTOP)
         try:
@@ -215,7 +217,7 @@
         self.assertEqual(0, self.runs(request_id))
 
     def test_entry_that_is_back(self):
-        """It serves again as soon as it has read."""
+        """An entry accepts keys again after it reconnects to the store."""
         self.site.entries['two'].kill()
         self.cut('one')
         gevent.sleep(REVOKE_S * 1.5)
@@ -225,13 +227,13 @@
 
 
 class TestLimitsOnMachines(KeysCase):
-    """A limit over all entries together."""
+    """A limit that applies to all entries together."""
 
     entries = ('one', 'two', 'three')
 
     def test_start_of_all(self):
-        """It does not hand out the burst again."""
-        begun_at = time.monotonic()
+        """A restart of all entries does not grant the burst again."""
+        started_at = time.monotonic()
         served = 0
         for restart in (False, True):
             if restart:
@@ -242,14 +244,14 @@
             for number in range(30):
                 entry = self.entries[number % len(self.entries)]
                 served += self.send(entry, 'k2')[0] == 200
-        lasted_s = max(WINDOW_S, time.monotonic() - begun_at)
-        most = (lasted_s * TWO['rate_per_s'] + TWO['burst']) * 1.1 + SLACK
+        lasted_s = max(WINDOW_S, time.monotonic() - started_at)
+        most = (lasted_s * TWO['rate_per_s'] + TWO['burst']) * 1.1 + MAX_EXCESS
         self.assertLessEqual(served, most)
         self.assertGreaterEqual(served, TWO['burst'])
         self.assertEqual(200, self.send('one', 'k1')[0])
 
     def test_refusal(self):
-        """It says when to come back, and an organisation without is free."""
+        """A rejection has Retry-After; other organisations are not limited."""
         sent = {'X-Attempt-Id': 'r', 'Authorization': 'Bearer k2'}
         answers = [
             self.site.call('one', 'POST', '/on/', b'1', sent) for _ in range(40)
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -1,4 +1,4 @@
-"""Failures on the machines: callers, replicas and entries that leave."""
+"""Failures of callers, replicas, entry processes and the store."""
 
 import signal
 import socket
@@ -11,7 +11,7 @@
 from standins.waiting import wait_for
 from tests.machine_case import MachineCase
 
-LONG = b'400 0.05'
+LONG_STREAM = b'400 0.05'
 HEAD = (
     f'POST /on/ HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: raw\r\n'
     'X-Request-Deadline: 4000\r\n'
@@ -19,20 +19,20 @@
 
 
 def sent(request_id: str) -> dict[str, str]:
-    """Return the headers of a request."""
+    """Return the headers of a request with four seconds left."""
     return {'X-Attempt-Id': request_id, 'X-Request-Deadline': '4000'}
 
 
 class TestCallers(MachineCase):
-    """Callers that leave, and requests that can be read two ways."""
+    """Callers that disconnect, and requests with ambiguous framing."""
 
     entries = ('one',)
 
     def test_caller_leaves(self):
-        """A replica stops soon after the caller has gone."""
+        """A replica stops a request soon after its caller disconnects."""
         with socket.create_connection(self.site.addresses['one']) as caller:
-            text = f'{HEAD}Content-Length: {len(LONG)}\r\n\r\n'
-            caller.sendall(text.encode() + LONG)
+            text = f'{HEAD}Content-Length: {len(LONG_STREAM)}\r\n\r\n'
+            caller.sendall(text.encode() + LONG_STREAM)
             wait_for('it runs', lambda: self.runs('raw'))
         wait_for(
             'the replica stops',
@@ -47,7 +47,7 @@
         'Transfer-Encoding: gzip\r\n\r\n1',
     )
     def test_two_lengths(self, rest):
-        """A body whose end is in doubt is refused and runs nowhere."""
+        """A request with ambiguous body length is rejected and not run."""
         with socket.create_connection(self.site.addresses['one']) as caller:
             caller.settimeout(5)
             caller.sendall(f'{HEAD}{rest}'.encode())
@@ -57,17 +57,17 @@
 
 
 class TestReplicas(MachineCase):
-    """Replicas that leave and addresses that change hands."""
+    """Replicas that drain, break off or lose their address."""
 
     entries = ('one',)
 
     def check_served(self, request_id: str) -> None:
-        """Send a request that has to be served."""
+        """Check that a request succeeds."""
         call = ('one', 'POST', '/on/', b'1', sent(request_id))
         self.assertEqual(200, self.site.call(*call)[0])
 
     def test_draining_gets_nothing(self):
-        """A replica that drains gets no new request within the bound."""
+        """A draining replica gets no new request half a second later."""
         entry = {
             'service': 'model',
             'address': str(self.site.replica_address(0)),
@@ -85,9 +85,10 @@
         self.assertEqual([], self.site.replicas[0].targets)
 
     def test_cut_before_the_first_event(self):
-        """The caller is told that the outcome is not known.
+        """A stream cut before its first event is answered with 502.
 
-        Nothing has gone out to it yet, so that a status still can.
+        No part of the response has been sent to the caller yet, so an error
+        status can still report that the outcome is unknown.
         """
         for replica in self.site.replicas:
             replica.cut_after = [1]
@@ -96,7 +97,7 @@
         self.assertEqual(1, self.runs('cut'))
 
     def test_address_of_another(self):
-        """A request is not run by whoever has the address now."""
+        """A request is not run by a replica that took over an address."""
         self.site.replicas[0].id = 'i-other'
         for number in range(8):
             found = self.site.call(
@@ -106,7 +107,7 @@
         self.assertEqual([], self.site.replicas[0].targets)
 
     def test_lapsed_in_an_outage(self):
-        """Entries that lapsed while the store was away stay in use."""
+        """Replicas whose entries expired in a store outage stay in use."""
         self.site.store.down = True
         gevent.sleep(2.5)
         for replica in self.site.replicas:
@@ -116,7 +117,7 @@
         found = self.site.call('one', 'POST', '/on/', b'1', sent('r1'))
         self.assertEqual(200, found[0])
         wait_for(
-            'the replicas are taken for gone',
+            'the replicas are dropped',
             lambda: (
                 self.site.call('one', 'POST', '/on/', b'1', sent('r2'))[0]
                 == 503
@@ -126,10 +127,10 @@
 
 
 class TestEntries(MachineCase):
-    """Entries that stop, are killed, or lose the store."""
+    """Entry processes that stop, are killed, or lose the store."""
 
     def test_reload_while_starting(self):
-        """SIGHUP ends no entry that is still loading its modules."""
+        """SIGHUP does not end an entry that is still importing modules."""
         self.site.spawn_entry('three')
         process = self.site.entries['three']
         maps = Path(f'/proc/{process.process.pid}/maps')
@@ -138,7 +139,7 @@
         wait_for('it is ready', lambda: self.site.is_ready('three'), 10)
 
     def test_stop_cuts_no_stream(self):
-        """A planned stop ends after the streams that it has."""
+        """A planned stop waits for the streams in progress."""
         call = gevent.spawn(
             self.site.call,
             'one',
@@ -155,7 +156,7 @@
         self.assertEqual(0, process.wait())
 
     def test_all_killed(self):
-        """After the loss of every entry jobs go on, each item once."""
+        """Jobs resume after all entries are killed; items are listed once."""
         self.site.submit('one', 'j1', ['40 0.05'] * 3)
         self.site.submit('two', 'j2', ['40 0.05'] * 3)
         gevent.sleep(1.3)
@@ -168,7 +169,7 @@
             self.assertEqual(3, len(set(listed)))
 
     def test_ended_while_the_store_turns_away(self):
-        """The peer's word ends a job whose holder cannot ask the store."""
+        """A peer's message ends a job whose holder cannot reach the store."""
         self.site.submit('one', 'j3', ['400 0.05'] * 4)
         wait_for(
             'the items run',
--- a/tests/test_machine_lives.py
+++ b/tests/test_machine_lives.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their id, and entries that are spoiled."""
+"""Replicas that restart under the same id, and unreadable entries."""
 
 import contextlib
 from http.client import IncompleteRead
@@ -10,26 +10,26 @@
 from tests.machine_case import MachineCase
 from tests.test_machine_failures import sent
 
-FEW = 6
-LONG = b'40 0.05'
+REQUESTS_PER_REPLICA = 6
+LONG_STREAM = b'40 0.05'
 
 
 class LivesCase(MachineCase):
-    """One entry and two replicas."""
+    """Starts one entry process and two replicas."""
 
     entries = ('one',)
     sent = 0
 
     def call(self, path, request_id, body=b'1'):
-        """Return the status of a call, None if its answer breaks off."""
+        """Return the status of a call, or None if its response is cut off."""
         with contextlib.suppress(IncompleteRead):
             headers = sent(request_id)
             return self.site.call('one', 'POST', path, body, headers)[0]
 
     def reached(self):
-        """Send requests, all of which have to be served; return where."""
+        """Check that requests succeed; return the replicas that ran them."""
         before = {each.id: len(each.targets) for each in self.site.replicas}
-        for _ in range(FEW * 2):
+        for _ in range(REQUESTS_PER_REPLICA * 2):
             self.sent += 1
             self.assertEqual(200, self.call('/on/', f'to-{self.sent}'))
         return {
@@ -39,21 +39,21 @@
         }
 
     def wait_logged(self, event):
-        """Wait until the entry has logged an event."""
+        """Wait until the entry has logged ``event``."""
         process = self.site.entries['one']
         wait_for(event, lambda: event in process.tail())
 
     def wait_all_reached(self):
-        """Wait until both replicas get requests."""
+        """Wait until both replicas receive requests."""
         wait_for('both are in choice', lambda: len(self.reached()) == 2)
 
 
 class TestLives(LivesCase):
-    """A replica that starts again."""
+    """Requests on a replica that restarts under the same id."""
 
     def begin(self, path, request_id):
-        """Begin a stream that lasts some seconds; return its greenlet."""
-        call = gevent.spawn(self.call, path, request_id, LONG)
+        """Start a stream of about two seconds; return its greenlet."""
+        call = gevent.spawn(self.call, path, request_id, LONG_STREAM)
         wait_for('it runs', lambda: self.runs(request_id) == 1)
         return call
 
@@ -68,7 +68,7 @@
 
     @params(False, True)
     def test_never_twice(self, moved):
-        """What may run once is sent to no next life."""
+        """A non-repeatable request is not sent to the next incarnation."""
         call = self.begin('/on/', 'once')
         self.restart('once', moved)
         self.assertNotEqual(200, call.get(timeout=10))
@@ -78,14 +78,14 @@
 
     @params('/again/', '/safe/')
     def test_goes_on(self, path):
-        """What may be repeated goes on, whole."""
+        """A repeatable request is repeated and completes."""
         call = self.begin(path, 'twice')
         self.restart('twice')
         self.assertEqual(200, call.get(timeout=10))
         self.assertEqual(2, self.runs('twice'))
 
     def test_batch_goes_on(self):
-        """A job's items go on, each listed once."""
+        """A job's items are repeated, and each is listed once."""
         self.site.submit('one', 'j1', ['30 0.05'] * 6)
         wait_for(
             'the items run',
@@ -98,7 +98,7 @@
 
 
 class TestSpoiled(LivesCase):
-    """An entry that another writer spoils."""
+    """A replica entry that another program has made unreadable."""
 
     @params(
         'address a number',
@@ -115,7 +115,7 @@
         'null',
     )
     def test_left_out(self, how):
-        """It gets nothing more until its entry can be read; others do."""
+        """Its replica gets no requests until the entry is readable again."""
         self.wait_all_reached()
         self.site.spoil_entry(0, how)
         self.wait_logged('host_unreadable')
--- a/tests/test_machine_path.py
+++ b/tests/test_machine_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the machines: processes, store, replicas."""
+"""End-to-end tests with entry processes, a stand-in store and replicas."""
 
 import contextlib
 import json
@@ -19,17 +19,17 @@
 
 
 def sent(request_id: str) -> dict[str, str]:
-    """Return the headers of a request."""
+    """Return the headers of a request with four seconds left."""
     return {'X-Attempt-Id': request_id, 'X-Request-Deadline': '4000'}
 
 
 class TestOnline(MachineCase):
-    """Streams and plain requests."""
+    """Online requests, streams among them."""
 
     entries = ('one',)
 
     def test_stream(self):
-        """A stream comes whole, signed, and with what is left of its time."""
+        """A stream is complete, keeps its signature and has a deadline."""
         status, headers, body = self.site.call(
             'one',
             'POST',
@@ -46,8 +46,8 @@
 
     @params(('/again/', 2), ('/on/', 1))
     def test_broken_stream(self, path, runs):
-        """A broken stream goes on elsewhere only where that is allowed."""
-        # One list for all: whichever replica runs it first breaks off.
+        """A broken stream resumes at another replica only on some routes."""
+        # The replicas share the list, so only the first run breaks off.
         breaks = [3]
         for replica in self.site.replicas:
             replica.cut_after = breaks
@@ -65,12 +65,12 @@
 
     @params((404, '/none/x'), (404, '/onx'))
     def test_no_route(self, status, target):
-        """What no route fits is not found."""
+        """A request without a matching route is answered with 404."""
         found = self.site.call('one', 'POST', target, b'1', sent('r3'))
         self.assertEqual(status, found[0])
 
     def test_spoiled_answer(self):
-        """An answer to another request is passed to nobody."""
+        """A response to another request is not passed to the caller."""
         for replica in self.site.replicas:
             replica.spoil.append('other')
         status, _, body = self.site.call(
@@ -85,7 +85,7 @@
         self.assertEqual(1, self.runs('r4'))
 
     def test_reload(self):
-        """SIGHUP, also with a broken file, ends nothing."""
+        """SIGHUP does not end the process, even with an invalid file."""
         process = self.site.entries['one']
         process.send(signal.SIGHUP)
         (self.site.folder / 'one.yaml').write_text('role: [')
@@ -95,7 +95,7 @@
         self.assertEqual(200, found[0])
 
     def test_new_configuration(self):
-        """A version is in force within the bound, and routes go with it."""
+        """A new version is in force within three seconds; old routes go."""
         self.site.configure(
             [{'name': 'n', 'path_prefix': '/new/', 'kind': 'streaming'}],
         )
@@ -112,10 +112,10 @@
 
 
 class TestJobs(MachineCase):
-    """Jobs: accepted once, done once, readable everywhere."""
+    """Jobs are accepted once, run once and readable at every entry."""
 
     def test_job(self):
-        """Submitted at one entry, sent again to and read from another."""
+        """A job is submitted again to another entry and read from both."""
         bodies = [f'{EVENTS}'] * 5 + ['impossible', 'failing']
         self.assertEqual(202, self.site.submit('one', 'j1', bodies))
         self.assertEqual(202, self.site.submit('two', 'j1', bodies))
@@ -133,7 +133,7 @@
         self.assertEqual(2, self.runs('j1-6'))
 
     def test_body_and_end(self):
-        """Bodies can be had while a job is open; an ended job stops."""
+        """Item bodies are readable in an open job; an ended job stops."""
         self.site.submit('one', 'j2', ['400 0.05'] * 12)
         status, _, raw = self.site.call('two', 'GET', '/api/items/j2?id=j2-11')
         self.assertEqual((200, b'400 0.05'), (status, raw))
@@ -153,7 +153,7 @@
 
     @params('kill', 'stop')
     def test_holder_lost(self, how):
-        """Another entry goes on, from what the lost one had stored."""
+        """Another entry resumes a job from the stored partial outputs."""
         self.site.submit('one', 'j3', ['60 0.05'] * 3)
         wait_for(
             'some output is stored',
@@ -179,7 +179,7 @@
         self.assertEqual({'\n'.join(f'e{n}' for n in range(1, 61))}, outputs)
 
     def test_lost_answers(self):
-        """A job whose writes lose their answers is still done once."""
+        """A job runs once even if the store loses answers to its writes."""
         self.site.store.faults.extend(['lost after', 'lost after'])
         statuses = [
             self.site.submit(name, 'j4', ['3'] * 4)
@@ -191,7 +191,7 @@
         self.assertEqual(4, len(set(listed)))
 
     def test_yield_to_online(self):
-        """Online requests find slots though batch had them all."""
+        """Online requests preempt batch items that occupy every slot."""
         self.site.submit('one', 'j5', ['200 0.02'] * 12)
         wait_for(
             'every slot runs batch',
@@ -214,7 +214,7 @@
 
 
 class TestBadInput(MachineCase):
-    """Bad input gets the right status at once."""
+    """Statuses of invalid requests."""
 
     entries = ('one',)
 
@@ -225,7 +225,7 @@
         (413, b'x' * (1 << 21)),
     )
     def test_bad_job(self, status, raw):
-        """A job that cannot be read is refused."""
+        """An invalid or too large submission is rejected."""
         found = self.site.call('one', 'POST', '/lots/x', raw, sent('j6'))
         self.assertEqual(status, found[0])
 
@@ -236,7 +236,7 @@
         (431, 'POST', '/on/', {'X-Big': 'b' * 9000}),
     )
     def test_bad_call(self, status, method, target, headers):
-        """Unknown jobs, bad numbers, large headers."""
+        """Unknown jobs, invalid numbers and large headers are rejected."""
         body = b'1' if method == 'POST' else None
         found = self.site.call('one', method, target, body, headers)
         self.assertEqual(status, found[0])
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -1,4 +1,4 @@
-"""The list of replicas against a naive reader of the same."""
+"""Compares the reader of the replica list with a simple model of it."""
 
 import os
 import unittest
@@ -10,11 +10,11 @@
 from tests import list_play
 from tests.naive_list import Entry
 
-# 100,000 by hand: LIST_EXAMPLES=100000.
+# Generated examples; LIST_EXAMPLES=100000 makes a long run of 100,000.
 EXAMPLES = int(os.environ.get('LIST_EXAMPLES', '300'))
 IDS = ('a', 'b', 'c')
-# Unreadable whatever else the list holds.
-FOREIGN = tuple(set(SPOILED) - {'no born', 'service not named'})
+# Spoiled entries that are unreadable regardless of the other entries.
+ALWAYS_UNREADABLE = tuple(set(SPOILED) - {'no born', 'service not named'})
 
 ids = st.sampled_from(IDS)
 entries = st.builds(
@@ -23,15 +23,16 @@
     st.sampled_from(('ready', 'ready', 'draining')),
     st.integers(1, 3),
 )
-spoiled = st.sampled_from(sorted(FOREIGN))
+spoiled = st.sampled_from(sorted(ALWAYS_UNREADABLE))
 writes = st.tuples(
     st.just('write'),
     ids,
     st.one_of(entries, entries, entries, spoiled, st.none()),
 )
-# What the store does and what the reader hears of it. ``feed`` brings what
-# has changed since the last reading, ``whole`` all there is; ``late`` brings
-# an old row once more, ``away`` loses the changes of an outage.
+# Writes to the store, and deliveries to the reader. ``feed`` delivers the
+# changes since the last delivery, ``whole`` the complete list; ``late``
+# delivers an old row again, and ``away`` is an outage that loses the pending
+# changes.
 steps = st.lists(
     st.one_of(
         writes,
@@ -44,18 +45,18 @@
         st.just(('away',)),
         st.tuples(st.just('wait'), st.sampled_from((0.5, 1, 2, 3))),
     ),
-    # Shorter ones hardly ever have two lives of one id.
+    # Shorter sequences rarely have two incarnations of one id.
     min_size=12,
     max_size=40,
 )
 
 
 class TestReplicaList(unittest.TestCase):
-    """Entries, lives, orders of arrival, gaps and whole readings."""
+    """Entries, incarnations, late rows, outages and complete reads."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @example([('write', 'a', Entry(1, 'ready', 1)), ('feed',), ('away',)])
     @given(steps)
     def test_as_a_naive_reader(self, todo):
-        """Whatever happens, the same replicas are in choice."""
+        """The reader and the model always select the same replicas."""
         list_play.Play().play(todo)
