--- a/cactusridge/platform/caller_app.py
+++ b/cactusridge/platform/caller_app.py
@@ -61,7 +61,7 @@
         callers: CallerResolver,
         clock: Clock,
     ) -> None:
-        """Identify callers with ``callers``; serve by ``online`` or ``jobs``.
+        """Identify callers with ``callers``; serve with ``online`` or ``jobs``.
 
         ``follower`` keeps the configuration in ``holder`` up to date.
         """
--- a/cactusridge/platform/callers.py
+++ b/cactusridge/platform/callers.py
@@ -57,7 +57,7 @@
         directory = catalog.organisations
         if directory is None:
             return Caller('', call.headers, OPEN)
-        headers = call.headers_without_key()
+        headers = call.headers_without_authorization()
         if route.public:
             return Caller('', headers, OPEN)
         key_holder = self._keys.holder(directory, call.authorization)
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -24,7 +24,7 @@
     """Applies the entries of the replica list to the fleet view."""
 
     def __init__(self, fleet: FleetView, clock: Clock) -> None:
-        """Keep ``fleet`` equal to the list in the store."""
+        """Apply the list in the store to ``fleet``."""
         self._fleet = fleet
         self._clock = clock
         self._grace_until = float(0)
@@ -70,7 +70,7 @@
             self._apply(row)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Drop the replicas whose entry is not among ``keys``."""
+        """Drop the replicas whose keys are not among ``keys``."""
         for key in self._applied_versions.keys() - keys:
             self._drop(key)
 
@@ -127,7 +127,7 @@
 
 
 def _id_of(key: str) -> str:
-    """Return the replica id in ``key``; the key itself without PREFIX."""
+    """Return the replica id, or the whole key if it lacks PREFIX."""
     return key.removeprefix(PREFIX)
 
 
--- a/cactusridge/platform/objects.py
+++ b/cactusridge/platform/objects.py
@@ -55,7 +55,7 @@
     def names(self, prefix: str, after: str = '') -> list[str]:
         """Return the next page of sorted names below ``prefix``.
 
-        The page starts behind the name ``after``. Raises StoreUnavailable.
+        All names sort after ``after``. Raises StoreUnavailable.
         """
         query = urlencode({'path_prefix': prefix, 'after': after})
         path = f'/api/blob-list?{query}'
--- a/cactusridge/platform/replica_probe.py
+++ b/cactusridge/platform/replica_probe.py
@@ -21,8 +21,9 @@
     """Return whether ``replica`` is at the other end of a new connection.
 
     The probe has no request id, so that no replica runs it. Another process
-    at the address responds with 421. A replica that keeps the connection
-    open without a response in time is busy and counts as running.
+    at the address responds with 421 (Misdirected Request). A
+    replica that keeps the connection open without a response in time is busy
+    and counts as running.
     """
     parser = ReplyParser(METHOD)
     sock.settimeout(PROBE_TIMEOUT_S)
--- a/cactusridge/platform/rows.py
+++ b/cactusridge/platform/rows.py
@@ -49,10 +49,7 @@
         feeds: PlatformLink,
         store_clock: StoreClock,
     ) -> None:
-        """Send calls over ``link`` and watches over ``feeds``.
-
-        ``store_clock`` receives the store's time from each read.
-        """
+        """Send calls over ``link``, watches over ``feeds``."""
         self.link = link
         self.feeds = feeds
         self._store_clock = store_clock
@@ -64,11 +61,7 @@
         writes: Sequence[Write],
         priority: Priority,
     ) -> int:
-        """Apply all writes if all conditions hold; return the version.
-
-        Raises ConditionFailed, StoreUnavailable (nothing is applied) or
-        WriteUnknown (the writes may be applied).
-        """
+        """Apply all writes if all conditions hold; return the version."""
         keys = [each.key for each in (*conditions, *writes)]
         message = {
             'expected_rev': [
@@ -105,17 +98,11 @@
         after: str = '',
         limit: int = PAGE,
     ) -> list[Row]:
-        """Return up to ``limit`` rows below ``prefix``, sorted by key.
-
-        The rows start behind the key ``after``. Raises StoreUnavailable.
-        """
+        """Return up to ``limit`` rows below ``prefix``, sorted by key."""
         return self._scan(prefix, priority, after, limit).rows
 
     def snapshot(self, prefixes: list[str]) -> Snapshot:
-        """Return all rows below ``prefixes`` and the oldest read version.
-
-        Raises StoreUnavailable.
-        """
+        """Return all rows below ``prefixes`` and the oldest read version."""
         found = [
             self._scan(prefix, Priority.lease, '', None) for prefix in prefixes
         ]
@@ -123,11 +110,9 @@
         return Snapshot(rows, min(each.version for each in found))
 
     def changes(self, table: str, after: int, wait_s: float) -> Snapshot:
-        """Return the rows of ``table`` changed after the version ``after``.
+        """Return rows changed after ``after``; wait for ``wait_s`` seconds.
 
-        The store waits up to ``wait_s`` seconds for a change. Raises
-        HistoryLost if the store no longer has the changes since ``after``,
-        or StoreUnavailable.
+        Raises HistoryLost if the store has dropped changes after ``after``.
         """
         query = {
             'table': table,
@@ -143,10 +128,7 @@
         return Snapshot(found.rows, found.version)
 
     def _version(self, answer: PlatformAnswer) -> int:
-        """Return a transaction's version.
-
-        Raises ConditionFailed, StoreUnavailable or UnreadableField.
-        """
+        """Return a transaction's version; raise UnreadableField."""
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
             rows, _ = parse_rows(_decoded(answer).listed('rows'))
             raise ConditionFailed(rows)
@@ -214,9 +196,7 @@
     def _answer(self, fields: Fields) -> Answer:
         found = parse_answer(fields)
         for entry in found.unnamed:
-            self._reports.note(
-                repr(entry)[:MAX_SHOWN], ABSENT, 'the row has no readable key'
-            )
+            self._reports.note(repr(entry)[:MAX_SHOWN], ABSENT, 'invalid key')
         return found
 
 
@@ -235,7 +215,7 @@
 ) -> int:
     """Return how many rows to request after a page of ``size`` rows.
 
-    The next page starts behind the last row with a readable key. A page
+    The next page starts after the last row with a readable key. A page
     without any such row is therefore read again with the size PAGE; raises
     StoreUnavailable if it had that size already.
     """
