--- a/cactusridge/fleet/__init__.py
+++ b/cactusridge/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which replicas there are, life by life."""
+"""The known replicas of each service and their process incarnations."""
--- a/cactusridge/fleet/fleet_view.py
+++ b/cactusridge/fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""The replicas this entry knows, by service."""
+"""The replicas that this entry knows, by service."""
 
 from collections.abc import Iterable
 
@@ -17,17 +17,18 @@
 
 
 class FleetView:
-    """The newest life of each replica that has an entry.
+    """The newest incarnation of each replica that service discovery lists.
 
-    ``changed`` is set whenever one comes or goes. Nobody else keeps
-    anything by the plain id of a replica.
+    ``changed`` is set whenever a replica is added, updated or removed. State
+    about a replica is keyed by its incarnation, never by its plain id, which a
+    restarted process keeps.
     """
 
     def __init__(self) -> None:
-        """Start with no replica."""
+        """Create a view without replicas."""
         self.changed = Event()
         self._replicas: dict[str, Replica] = {}
-        # Those that are ready, by service, until the replicas change.
+        # The ready replicas by service; cleared whenever the replicas change.
         self._ready: dict[str, tuple[Replica, ...]] = {}
         self._order = LifeOrder()
         self._telling = 0
@@ -35,14 +36,15 @@
         self._listeners: list[LifeListener] = []
 
     def on_life_end(self, listener: LifeListener) -> None:
-        """Tell ``listener`` of each life that a newer one ends."""
+        """Notify ``listener`` of each incarnation that a newer one replaces."""
         self._listeners.append(listener)
 
     def put(self, replica: Replica) -> None:
-        """Take a new replica, a new life or a new state of a known one.
+        """Add a replica, a new incarnation or a new state of a known replica.
 
-        Raises LifeOver for a life before the newest, LifeNotTold for an
-        entry without one under an id that told its own.
+        Raises LifeOver if the incarnation is older than the newest known one,
+        and LifeNotTold if the entry has no start time although an earlier
+        entry of the same id had one.
         """
         ended = self._order.take(replica.id, replica.born)
         if ended is not None:
@@ -64,7 +66,7 @@
         self._settle()
 
     def drop(self, replica_id: str) -> None:
-        """Take a replica for gone; its newest life is remembered."""
+        """Remove a replica; its newest start time stays remembered."""
         newest = self._order.newest(replica_id)
         if newest is None or not self._remove(life_key(replica_id, newest)):
             return
@@ -73,7 +75,7 @@
         self._settle()
 
     def get(self, life: str) -> Replica | None:
-        """Return the replica that lives this life, or None."""
+        """Return the replica with this incarnation key, or None."""
         return self._replicas.get(life)
 
     def ids(self) -> set[str]:
@@ -85,10 +87,10 @@
         return {replica.service for replica in self._replicas.values()}
 
     def ready(self, service: str) -> tuple[Replica, ...]:
-        """Return the replicas of ``service`` that take new work.
+        """Return the replicas of ``service`` that accept new work.
 
-        Asked for at every request and for each replica at every look of
-        the batch scheduler: found anew only after a change.
+        The result is cached until the replicas change, because every request
+        and every poll of the batch scheduler calls this method.
         """
         found = self._ready.get(service)
         if found is None:
@@ -104,7 +106,7 @@
         return found
 
     def is_named(self, replica: Replica) -> bool:
-        """Tell whether the entry of a replica names one to use."""
+        """Return whether the entry of a replica identifies a usable replica."""
         told = self._lives_told()
         return names_replica(replica.born, NOT_TOLD, told)
 
@@ -113,7 +115,7 @@
         return {replica.address for replica in self._replicas.values()}
 
     def _end(self, replica: Replica, born: int) -> None:
-        """End the life that began at ``born``: ``replica`` is the next."""
+        """Remove the incarnation started at ``born``, before ``replica``."""
         life = life_key(replica.id, born)
         self._remove(life)
         logs.emit(
@@ -126,13 +128,13 @@
             listener.life_ended(life)
 
     def _remove(self, life: str) -> bool:
-        """Remove a life; tell whether it was there."""
+        """Remove an incarnation; return whether it was known."""
         self._telling -= self._tells(life)
         self._ready.clear()
         return self._replicas.pop(life, None) is not None
 
     def _tells(self, life: str) -> bool:
-        """Tell whether a replica is known and tells its life."""
+        """Return whether the incarnation is known and has a start time."""
         replica = self._replicas.get(life)
         return replica is not None and replica.born != NOT_TOLD
 
@@ -140,7 +142,10 @@
         return lives_told(self._telling, len(self._replicas))
 
     def _settle(self) -> None:
-        """Say how many are left out by the rule, and that one has changed."""
+        """Signal a change; log when replicas begin or cease to be excluded.
+
+        Replicas without a start time are excluded while most others have one.
+        """
         untold = len(self._replicas) - self._telling
         left_out = untold if self._lives_told() else 0
         if bool(left_out) != bool(self._left_out):
--- a/cactusridge/fleet/life_listener.py
+++ b/cactusridge/fleet/life_listener.py
@@ -1,11 +1,14 @@
-"""Who is told that a life of a replica is over."""
+"""The interface for objects that are notified when an incarnation ends."""
 
 import abc
 
 
 class LifeListener(abc.ABC):
-    """Keeps something by the life of a replica."""
+    """Keeps state by the incarnation key of a replica."""
 
     @abc.abstractmethod
     def life_ended(self, life: str) -> None:
-        """Forget what is believed of ``life``; it may be unknown here."""
+        """Discard the state about ``life``, an incarnation key.
+
+        The key may be unknown to the listener.
+        """
--- a/cactusridge/fleet/life_order.py
+++ b/cactusridge/fleet/life_order.py
@@ -1,4 +1,4 @@
-"""Which life of a replica is its newest, also after its entry has gone."""
+"""Tracks the newest incarnation of each replica, listed or not."""
 
 from collections import OrderedDict
 
@@ -6,58 +6,62 @@
 from cactusridge.fleet.life_rule import names_replica
 from cactusridge.fleet.replica import NOT_TOLD
 
-# Replicas without an entry whose newest life is remembered. The lists of
-# the largest deployments have some tens of replicas; a list that is read
-# late is at most one replacement of all of them behind.
+# Limits how many unlisted replicas have the start time of their newest
+# incarnation remembered. The largest deployments list some tens of replicas,
+# and a delayed read of the list is at most one replacement of all of them
+# behind.
 MAX_GONE = 4096
 
 
 class LifeOver(CactusridgeError):
-    """A newer life of the replica is known."""
+    """A newer incarnation of the replica is known."""
 
     status = 409
     code = 'life_over'
 
 
 class LifeNotTold(CactusridgeError):
-    """The entry does not tell its life, unlike others under its id."""
+    """The entry has no start time, unlike an earlier entry of its id."""
 
     status = 422
     code = 'life_not_told'
 
 
 class LifeOrder:
-    """Remembers the start of the newest life by id.
+    """Remembers the start time of the newest incarnation by replica id.
 
-    Guards against entries of a former life that are read late: a start
-    that is older than the newest one never counts.
+    Service discovery can deliver entries of an earlier incarnation late. An
+    entry whose start time is older than the newest known one is rejected.
+    Start times are Unix milliseconds.
     """
 
     def __init__(self) -> None:
-        """Know no life."""
+        """Create an order without any incarnation."""
         self._listed: dict[str, int] = {}
         self._gone: OrderedDict[str, int] = OrderedDict()
 
     def newest(self, replica_id: str) -> int | None:
-        """Return the start of the newest life, None for an unknown id."""
+        """Return the newest start time of a replica, None for an unknown id."""
         return self._listed.get(replica_id, self._gone.get(replica_id))
 
     def take(self, replica_id: str, born: int) -> int | None:
-        """Note a life that is listed; return the start of one it ends.
+        """Record a listed incarnation; return the start time it replaces.
 
-        Raises LifeOver or LifeNotTold for one that is not the newest.
+        Returns None if the listed incarnation replaces no other. Raises
+        LifeOver if a newer incarnation is known, and LifeNotTold if ``born``
+        is NOT_TOLD although an earlier entry of the id had a start time.
         """
         newest = self.newest(replica_id)
         if not names_replica(born, newest or NOT_TOLD, told=False):
-            raise LifeNotTold(f'{replica_id} told {newest} before')
+            raise LifeNotTold(f'{replica_id} lacks its start time {newest}')
         if newest is not None and born < newest:
-            raise LifeOver(f'{replica_id} began {born}, again {newest}')
+            raise LifeOver(f'{replica_id}: {born} is older than {newest}')
         self._gone.pop(replica_id, None)
         self._listed[replica_id] = born
         return None if newest == born else newest
 
     def gone(self, replica_id: str) -> None:
-        """Note that a replica has no entry now."""
+        """Record that service discovery no longer lists a replica."""
         born = self._listed.pop(replica_id, None)
         if born is None:
             return
--- a/cactusridge/fleet/life_rule.py
+++ b/cactusridge/fleet/life_rule.py
@@ -1,21 +1,23 @@
-"""Whether an entry that does not tell when its life began names a replica.
+"""Decides whether an entry without a start time identifies a replica.
 
-Guards against entries of another writer while replicas tell their lives,
-and keeps the replicas of a platform whose entries do not tell them.
+Some platforms list replicas without start times; their entries are usable.
+Where most replicas have a start time, an entry without one is taken for the
+work of another writer and is ignored.
 """
 
 from cactusridge.fleet.replica import NOT_TOLD
 
 
 def lives_told(telling: int, known: int) -> bool:
-    """Tell whether most of the ``known`` replicas tell their lives."""
+    """Return whether most of the ``known`` replicas have a start time."""
     return 2 * telling > known
 
 
 def names_replica(born: int, newest: int, told: bool) -> bool:
-    """Tell whether an entry with ``born`` names a replica to use.
+    """Return whether an entry with start time ``born`` is usable.
 
-    ``newest`` is the latest start that its id has told, NOT_TOLD if it
-    told none; ``told`` is whether most replicas tell theirs.
+    ``newest`` is the newest start time known for the id, or NOT_TOLD if none
+    of its entries had one. ``told`` is whether most replicas have a start
+    time.
     """
     return born != NOT_TOLD or (newest == NOT_TOLD and not told)
--- a/cactusridge/peers/__init__.py
+++ b/cactusridge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What entries tell each other: counts, offers, strikes, limits, keys."""
+"""Messages between entries: counts, offers, strikes, limits and keys."""
--- a/cactusridge/peers/audience.py
+++ b/cactusridge/peers/audience.py
@@ -1,4 +1,4 @@
-"""Which entries are told of what."""
+"""Selects the peers that receive each message."""
 
 import functools
 import itertools
@@ -16,21 +16,22 @@
 from cactusridge.peers.offers import CellOffer, share_offered
 from cactusridge.peers.peer_socket import Target
 
-# Names of entries whose address is kept; they come and go for ever.
+# Size of the cache of parsed entry addresses. Entries come and go for as long
+# as the process runs.
 KEPT_NAMES = 4096
 
 _target = functools.lru_cache(KEPT_NAMES)(parse_address)
 
 
 class Group(NamedTuple):
-    """Entries that are told the same lives."""
+    """Entries that receive the counts of the same replica incarnations."""
 
     lives: tuple[str, ...]
     targets: set[Target]
 
 
 class Audience:
-    """The peers of one entry, by what each of them needs to know."""
+    """The peers of one entry, selected by what each needs to receive."""
 
     def __init__(
         self,
@@ -39,7 +40,10 @@
         listed: Callable[[], Iterable[Target]],
         sharing: BatchSharing,
     ) -> None:
-        """``listed`` returns the peers in the list of entries."""
+        """Create an audience for the entry at ``me``.
+
+        ``listed`` returns the peers in the membership list.
+        """
         self._me = me
         self._loads = loads
         self._listed = listed
@@ -50,11 +54,11 @@
         self._rng = random.Random()  # noqa: S311
 
     def everybody(self) -> set[Target]:
-        """Return the listed peers and those that are heard."""
+        """Return the peers that are listed or from which counts are current."""
         return (self._heard() | set(self._listed())) - {self._me}
 
     def near(self) -> set[Target]:
-        """Return the peers in this entry's cell, and those in no cell."""
+        """Return the peers in the local cell and those assigned to no cell."""
         near = {_target(name) for name in self._cells.near()}
         return (near | self._in_no_cell()) - {self._me}
 
@@ -63,11 +67,13 @@
         lives: Iterable[str],
         anyway: Iterable[Target] = (),
     ) -> Iterator[Group]:
-        """Yield who is told of which ``lives``: each target once.
+        """Yield groups of peers that receive the counts of the same ``lives``.
 
-        A replica's requests are told to the entries of its cell and to
-        those that run or may run batch there. Those in ``anyway`` are told
-        even if there is nothing for them.
+        ``lives`` are incarnation keys. The counts of a replica go to the
+        entries of its cell, to the entries that may run batch there, to peers
+        that report in-flight requests there, and to the peers in no cell. Each
+        peer is in one group. Peers in ``anyway`` are included even if no count
+        goes to them.
         """
         told: dict[Target, list[str]] = {target: [] for target in anyway}
         in_no_cell = self._in_no_cell()
@@ -80,7 +86,7 @@
         return itertools.starmap(Group, alike.items())
 
     def offers(self) -> Iterator[tuple[Target, CellOffer]]:
-        """Yield what is offered to each far entry that this one tells."""
+        """Yield the offer for each remote entry that this entry serves."""
         near = tuple(self._cells.near_replicas())
         entries = len(self._cells.far())
         for name in self._cells.told_from_here(self._loads.heard_lately()):
@@ -96,7 +102,7 @@
             yield _target(name), CellOffer(self._cells.own, slots, shared)
 
     def _share(self, replica: Replica, name: str, entries: int) -> int:
-        """Return how many requests one of the far entries may have there."""
+        """Return how many online requests a remote entry may have there."""
         online = self._loads.at(replica.life).online
         more = share_offered(replica.slots, online, entries, self._rng)
         if not more:
@@ -106,23 +112,27 @@
 
     def _told_of(self, life: str) -> set[Target]:
         names = self._cells.entries_at(life) | self._sharing.of(life)
-        # Who has requests there has to know when to yield, also if the
-        # cells have changed since.
+        # A peer with in-flight requests at the replica must know when to
+        # preempt them, even if the cells have changed since it sent them.
         names |= self._loads.peers_at(life).keys()
         return {_target(name) for name in names} - {self._me}
 
     def _in_no_cell(self) -> set[Target]:
-        """Return the peers that are heard or listed and in no cell.
+        """Return the known peers that are assigned to no cell.
 
-        An entry that cannot renew its row goes on sending requests to the
-        replicas; unheard, these wait behind what it does not know of. One
-        that has just come into the list is in a cell only after a moment.
+        An entry that cannot renew its membership row still sends requests to
+        the replicas. Without counts from its peers it would send requests to
+        replicas that are already full. An entry that has just joined the
+        membership list is assigned to a cell only after a short delay.
         """
         known = self._heard() | set(self._listed())
         return known - self._in_cells() - {self._me}
 
     def _in_cells(self) -> frozenset[Target]:
-        """Return the entries in cells, found anew when they change."""
+        """Return the addresses of all entries in cells.
+
+        The result is cached until the entries change.
+        """
         entries = self._cells.entries()
         if entries is not self._divided:
             self._divided = entries
--- a/cactusridge/peers/batch_sharing.py
+++ b/cactusridge/peers/batch_sharing.py
@@ -1,9 +1,9 @@
-"""Which entries run batch at which replicas.
+"""Selects the entries that run batch requests at each replica.
 
-Answers large fleets: where every entry may start items at every replica,
-all rush to each slot that comes free, and either they are told of each
-other's claims, which grows with the square of the fleet, or most starts
-are cut again.
+In a large fleet, if every entry could start batch items at every replica, all
+of them would compete for each slot that becomes free. Either they would send
+each other all their claims, whose number grows with the square of the fleet,
+or most items would be preempted right after their start.
 """
 
 import math
@@ -15,12 +15,12 @@
 from cactusridge.hashing import hash64, rendezvous
 from cactusridge.peers.cells import LEAST_REPLICAS, Cells, ReplicaCells
 
-# Entries that run batch at one replica: enough that its slots find work
-# though not all of them have any, few enough that what they tell each
-# other does not grow with the fleet.
+# Entries that run batch at one replica: enough that its slots are used even if
+# some of the entries have no items, few enough that the messages between them
+# do not grow with the fleet.
 SHARERS = 10
-# Of other cells besides: where a cell has more items than free slots, its
-# entries find some in the others.
+# Entries of other cells that run batch at one replica in addition. The entries
+# of a cell that has more items than free slots use slots of other cells.
 FAR_SHARERS = 5
 
 
@@ -29,18 +29,20 @@
     entries: tuple[str, ...],
     count: int,
 ) -> frozenset[str]:
-    """Return ``count`` of ``entries``: those that run batch at a replica.
+    """Return the ``count`` of ``entries`` that run batch at a replica.
 
-    Everybody finds the same ones. One that comes or goes changes little.
+    Rendezvous hashing of the incarnation key ``life`` selects them. All
+    entries compute the same result, and an entry that joins or leaves changes
+    little of it.
     """
     order = rendezvous(entries, hash64(life))
     return frozenset(order[:count])
 
 
 class Share(NamedTuple):
-    """What was found of a service, and the cells it was found from.
+    """The sharers of a service's replicas and the cells they derive from.
 
-    ``sharers`` fills up by life as it is asked for; ``mine`` are the
+    ``sharers`` is filled on demand by incarnation key. ``mine`` are the
     replicas where this entry runs batch.
     """
 
@@ -50,19 +52,20 @@
 
 
 class BatchSharing:
-    """Finds the sharers of each replica among the entries that may."""
+    """Computes which of the eligible entries run batch at each replica."""
 
     def __init__(self, fleet: FleetView, cells: Cells) -> None:
-        """Choose among the entries that ``cells`` has for a replica."""
+        """Select from the entries that ``cells`` allows for a replica."""
         self._fleet = fleet
         self.cells = cells
         self._shares: dict[str, Share] = {}
 
     def replicas_of(self, service: str) -> Sequence[Replica]:
-        """Return the ready replicas of a service where this entry runs batch.
+        """Return a service's ready replicas where this entry runs batch.
 
-        Asked for at every look of the batch scheduler, a hundred times a
-        second in a busy fleet: found anew only after a change.
+        The result is cached until the cells change: in a busy fleet the batch
+        scheduler polls a hundred times a second and calls this method each
+        time.
         """
         return self._share(service).mine
 
@@ -79,7 +82,7 @@
     def _share(self, service: str) -> Share:
         basis = self.cells.of_service(service)
         known = self._shares.get(service)
-        # Replaced when entries or replicas change.
+        # The basis is a new object whenever entries or replicas change.
         if known is None or known.basis is not basis:
             known = Share(basis, {}, [])
             self._shares[service] = known
@@ -91,7 +94,7 @@
 
 
 def _sharers_in(basis: ReplicaCells, life: str) -> frozenset[str]:
-    """Return the sharers of a replica; none if it takes no new work."""
+    """Return the sharers of a replica; none if it accepts no new work."""
     cell = basis.cells.get(life)
     if cell is None:
         return frozenset()
--- a/cactusridge/peers/cell_rules.py
+++ b/cactusridge/peers/cell_rules.py
@@ -1,4 +1,4 @@
-"""How entries and replicas are divided into cells."""
+"""Rules that divide entries and replicas into cells."""
 
 import abc
 import math
@@ -9,15 +9,15 @@
 from cactusridge.fleet.replica import Replica
 from cactusridge.hashing import hash64, rendezvous
 
-# Entries that can tell each other of every request. A fleet of no more is
-# one cell, whatever its zones.
+# Largest number of entries that can notify each other of every request. A
+# fleet of at most this size is one cell, whatever its availability zones.
 MAX_ENTRIES = 20
-# The only cell of a small fleet.
+# Name of the only cell of a small fleet.
 WHOLE = ''
 
 
 class EntryPlace(NamedTuple):
-    """The name of an entry, its address for peers, and its zone."""
+    """An entry's name, which is its peer address, and availability zone."""
 
     name: str
     zone: str
@@ -28,7 +28,10 @@
 
     @abc.abstractmethod
     def of_entries(self, entries: Sequence[EntryPlace]) -> dict[str, str]:
-        """Return the cell of each entry by name; everybody finds the same."""
+        """Return the cell of each entry by name.
+
+        All entries compute the same result.
+        """
 
     @abc.abstractmethod
     def of_replicas(
@@ -36,14 +39,19 @@
         replicas: Sequence[Replica],
         zones: Mapping[str, Sequence[str]],
     ) -> dict[str, str]:
-        """Return the cell of each life; ``zones`` has the cells of each."""
+        """Return the cell of each replica by incarnation key.
+
+        ``zones`` maps each availability zone to its cells.
+        """
 
 
 class ByZone(CellRule):
-    """Large fleets by availability zone, large zones in parts.
+    """Divides large fleets by availability zone, and large zones further.
 
-    An entry that comes or goes moves no other. Replicas are dealt out
-    evenly: their slots are what a cell can bear.
+    An entry that joins or leaves does not move another entry while the number
+    of cells of its zone stays the same. Replicas are distributed evenly over
+    the cells of their zone, because the slots of a cell's replicas limit the
+    load that the cell can take.
     """
 
     def of_entries(self, entries: Sequence[EntryPlace]) -> dict[str, str]:
@@ -67,7 +75,11 @@
         replicas: Sequence[Replica],
         zones: Mapping[str, Sequence[str]],
     ) -> dict[str, str]:
-        """Return the cell of each replica; one without a zone's gets any."""
+        """Return the cell of each replica by incarnation key.
+
+        Replicas in an availability zone without entries are distributed over
+        all cells.
+        """
         everywhere = sorted(
             {cell for cells in zones.values() for cell in cells}
         )
@@ -83,7 +95,7 @@
 
 
 class OneCell(CellRule):
-    """Naive: everybody tells everybody of everything."""
+    """Naive rule: all entries are one cell and exchange every count."""
 
     def of_entries(self, entries: Sequence[EntryPlace]) -> dict[str, str]:
         """Return the one cell for each entry."""
@@ -99,7 +111,7 @@
 
 
 def _dealt(names: Iterable[str], cells: Sequence[str]) -> dict[str, str]:
-    """Return a cell for each name, as many in each as in any other."""
+    """Assign the names to the cells in equal numbers."""
     order = sorted(names, key=hash64)
     return {
         name: cells[rank * len(cells) // len(order)]
--- a/cactusridge/peers/cells.py
+++ b/cactusridge/peers/cells.py
@@ -1,10 +1,11 @@
-"""Which entries and replicas of a large fleet belong together.
-
-Answers fleets in which nobody can hear of every request in time: what an
-entry reads would grow with the square of the fleet, or its counts would be
-too old to place a burst by. Each cell has the entries of an availability
-zone, or a part of them, and replicas of its own. Its entries tell each
-other of every request at these replicas, and send theirs there first.
+"""Divides a large fleet into cells of entries and replicas.
+
+In a large fleet an entry cannot receive a message about every request in time:
+the messages it reads would grow with the square of the fleet, or its counts
+would be too old to place a burst of requests. Each cell has the entries of an
+availability zone, or part of them, and replicas of its own. The entries of a
+cell notify each other of every request at these replicas, and prefer them for
+their own requests.
 """
 
 from collections import defaultdict
@@ -18,16 +19,20 @@
 from cactusridge.hashing import hash64, rendezvous
 from cactusridge.peers.cell_rules import WHOLE, CellRule, EntryPlace
 
-# Replicas that an entry has for batch on average at least, so that a job
-# spreads. Where cells have fewer, batch runs across cells.
+# Replicas at which an entry can run batch, at least this many on average, so
+# that the items of a job spread. If cells have fewer, batch runs across cells.
 LEAST_REPLICAS = 4
-# The entries are listed anew this often, in seconds; they change when one
-# starts or stops.
+# Interval of reading the list of entries, in seconds. The list changes when an
+# entry starts or stops.
 REFRESH_S = 0.25
 
 
 class Division(NamedTuple):
-    """The cells of the entries, and the entries of each cell."""
+    """The cell of each entry, and the entries and zones of the cells.
+
+    ``cells`` maps entry names to cells, ``names`` cells to entry names, and
+    ``zones`` availability zones to their cells.
+    """
 
     entries: tuple[EntryPlace, ...]
     cells: dict[str, str]
@@ -36,7 +41,11 @@
 
 
 class Shape(NamedTuple):
-    """What is logged of a division: cells, the own one, entries in it."""
+    """Fields of the log line about a division of the fleet.
+
+    These are the number of cells, the local cell, and the number of entries in
+    the local cell.
+    """
 
     cells: int
     cell: str
@@ -44,12 +53,12 @@
 
 
 class ReplicaCells(NamedTuple):
-    """The cells of a service's replicas, and what they were found from.
+    """The cells of a service's replicas and the inputs they derive from.
 
-    ``near`` are the lives in this entry's cell. ``batch_entries`` has the
-    entries that may run batch at a cell's replicas: its own, and those
-    whose cell has no replica of the service; all entries where cells have
-    few replicas.
+    ``cells`` maps incarnation keys to cells, and ``near`` has the keys in the
+    local cell. ``batch_entries`` maps a cell to the entries that may run batch
+    at its replicas: the entries of the cell, and those whose cell has no
+    replica of the service. Where cells have few replicas, it has all entries.
     """
 
     ready: tuple[Replica, ...]
@@ -63,7 +72,7 @@
 
 
 class Cells:
-    """The cells as one entry finds them from the entries and replicas."""
+    """The cells as one entry computes them from entries and replicas."""
 
     def __init__(
         self,
@@ -73,7 +82,10 @@
         rule: CellRule,
         clock: Clock,
     ) -> None:
-        """Be the entry ``name``; ``entries`` returns all in one order."""
+        """Create the cells as seen by the entry ``name``.
+
+        ``entries`` returns all entries in a fixed order.
+        """
         self.name = name
         self._fleet = fleet
         self._list_entries = entries
@@ -85,43 +97,43 @@
 
     @property
     def several(self) -> bool:
-        """Whether the fleet is larger than one cell."""
+        """Whether the fleet has more than one cell."""
         return len(self._current().names) > 1
 
     @property
     def own(self) -> str:
-        """The cell of this entry."""
+        """The local cell, that of this entry."""
         return self._current().cells.get(self.name, WHOLE)
 
     def entries(self) -> tuple[EntryPlace, ...]:
-        """Return all entries; the same tuple until one comes or goes."""
+        """Return all entries; the same tuple object until they change."""
         return self._current().entries
 
     def near(self) -> frozenset[str]:
-        """Return the entries of this entry's cell, itself among them."""
+        """Return the names of the entries in the local cell, with this one."""
         return self._names_in(self.own)
 
     def far(self) -> tuple[str, ...]:
-        """Return the entries of all other cells."""
+        """Return the names of the entries in all other cells."""
         own = self.own
         cells = self._current().cells
         return tuple(name for name, cell in cells.items() if cell != own)
 
     def is_far(self, name: str) -> bool:
-        """Tell whether an entry is known to be in another cell."""
+        """Return whether an entry is known to be in another cell."""
         own = self.own
         return self._current().cells.get(name, own) != own
 
     def entries_at(self, life: str) -> frozenset[str]:
-        """Return the entries of a replica's cell.
+        """Return the names of the entries in a replica's cell.
 
-        They are told at once of each request there. A replica that takes
-        no new work is told of in this entry's own cell.
+        These entries are notified at once of each request at the replica. A
+        replica that accepts no new work counts as one of the local cell.
         """
         return self._names_in(self.of_replica(life))
 
     def of_replica(self, life: str) -> str:
-        """Return the cell of a replica, this entry's where it has none."""
+        """Return the cell of a replica, or the local cell if it has none."""
         replica = self._fleet.get(life)
         if replica is None:
             return self.own
@@ -130,12 +142,12 @@
     def of_service(self, service: str) -> ReplicaCells:
         """Return the cells of a service's replicas.
 
-        The same object until an entry or a replica comes or goes.
+        The result is the same object until the entries or the replicas change.
         """
         division = self._current()
         ready = self._fleet.ready(service)
         known = self._replicas.get(service)
-        # Both are replaced when they change.
+        # Both inputs are new objects whenever they change.
         if known is not None:
             if known.ready is ready and known.division is division:
                 return known
@@ -152,16 +164,16 @@
         return found
 
     def near_replicas(self) -> Iterator[Replica]:
-        """Return the replicas of this entry's cell that take new work."""
+        """Return the replicas of the local cell that accept new work."""
         for service in self._fleet.services():
             found = self.of_service(service)
             yield from (each for each in found.ready if each.life in found.near)
 
     def told_from_here(self, heard: Iterable[str]) -> Iterator[str]:
-        """Yield the far entries that this one tells of the cell.
+        """Yield the remote entries that this entry sends the cell's offers to.
 
-        Each is told by one entry of the cell, among those that live:
-        ``heard`` has the ones that this entry has heard lately.
+        Rendezvous hashing assigns each remote entry to one live entry of the
+        local cell. ``heard`` are the peers whose counts are current.
         """
         living = (self.near() & set(heard)) | {self.name}
         for name in self.far():
@@ -215,7 +227,10 @@
     division: Division,
     replicas: Mapping[str, str],
 ) -> dict[str, tuple[str, ...]]:
-    """Return who may run batch at the replicas of each cell that has any."""
+    """Return the entries that may run batch in each cell with replicas.
+
+    ``replicas`` maps incarnation keys to cells.
+    """
     served = set(replicas.values())
     if len(replicas) < LEAST_REPLICAS * len(division.names):
         return dict.fromkeys(served, tuple(division.cells))
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -1,13 +1,13 @@
-"""Entries tell each other how many requests they have at each replica.
-
-Datagrams, since an old count is worth nothing: one that is lost is
-repeated by the next. One request more at a replica is told at once to its
-audience: the entries of its cell and those that run batch there. Other
-changes go to them by turns, the slower the more entries a cell has. All
-counts go out every half second, which also says that the entry lives, which
-configuration it has and whether the store answers it. The other cells are
-offered free slots as often, each entry there by one entry of this cell. So
-what an entry reads grows with the number of cells and not with the entries.
+"""Exchanges counts of in-flight requests between entries by datagram.
+
+Datagrams suffice because an old count is useless: the next datagram makes up
+for a lost one. An additional request at a replica is sent at once to the
+entries of its cell and those that run batch there. Other changes are sent to
+them periodically, less often the more peers a cell has. Every half second an
+entry repeats all its counts, which also serves as a heartbeat, together with
+its configuration version and whether the store responds to it. At the same
+interval, one entry of a cell sends each remote entry an offer of free slots.
+The datagrams an entry reads thus grow with the number of cells, not entries.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -28,27 +28,27 @@
 from cactusridge.peers.word import Word
 from cactusridge.work_meter import Part, spawn
 
-# All counts are repeated this often, in seconds.
+# Interval at which all counts are repeated, in seconds.
 REPEAT_S = 0.5
-# Changes go out after at least this long, in seconds: a twentieth of the
+# Shortest interval of sending changed counts, in seconds: a twentieth of the
 # time that an online request holds a slot.
 MIN_PERIOD_S = 0.04
-# And by the number of peers in the cell, so that an entry reads some 170
-# datagrams a second of changes at most.
+# Part of that interval for each peer in the cell, in seconds. It limits the
+# datagrams with changes that an entry reads to some 170 a second.
 PERIOD_PER_PEER_S = 0.006
 ALL = 'all'
 CHANGED = 'some'
 OFFER = 'offer'
 WORD = 'word'
 NEWS = 'news'
-# News is repeated this often, twice a second: longer than an entry may
-# be suspended or cut off and still act on what it knew.
+# Number of repeats of an announcement, at two a second. They last longer than
+# an entry can be suspended or partitioned and still act on what it knew.
 NEWS_REPEATS = 20
 NOTHING: Mapping[str, Any] = MappingProxyType({})
 
 
 class PeerExchange:
-    """Sends this entry's counts to its peers and takes theirs."""
+    """Sends this entry's counts to its peers and receives theirs."""
 
     def __init__(
         self,
@@ -58,9 +58,9 @@
         cells: Cells,
         word: Callable[[], Word],
     ) -> None:
-        """Speak through ``sock`` to the ``audience`` of each count.
+        """Create an exchange over ``sock`` with the peers in ``audience``.
 
-        ``word`` returns what is told of this entry.
+        ``word`` returns the status that this entry sends about itself.
         """
         self._sock = sock
         self._loads = loads
@@ -78,29 +78,32 @@
         loads.on_rise(self._risen)
 
     def on_loads(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when a peer's counts have come."""
+        """Call ``listener`` after a peer's counts have been received."""
         self._on_loads = listener
 
     def on_word(self, listener: Callable[[Target, Word], None]) -> None:
-        """Call ``listener`` with a peer and its word of itself."""
+        """Call ``listener`` with a peer's address and the status it sent."""
         self._on_word = listener
 
     def on_news(self, listener: Callable[[str, int], None]) -> None:
-        """Call ``listener`` with what peers ``tell``."""
+        """Call ``listener`` with each announced subject and version."""
         self._on_news = listener
 
     def tell(self, subject: str, version: int) -> None:
-        """Let every peer know of a newer version of something."""
+        """Announce a newer version of ``subject`` to all peers.
+
+        The announcement is repeated NEWS_REPEATS times.
+        """
         self._news[subject] = (version, NEWS_REPEATS)
         everybody = self._audience.everybody()
         self._sock.send(everybody, {NEWS: {subject: version}})
 
     def say(self, topic: str, about: Any) -> None:
-        """Tell every peer something once."""
+        """Send a message on ``topic`` to all peers, once."""
         self._sock.send(self._audience.everybody(), {topic: about})
 
     def say_to(self, target: Target, topic: str, about: Any) -> None:
-        """Tell one peer something once."""
+        """Send a message on ``topic`` to one peer, once."""
         self._sock.send([target], {topic: about})
 
     def on_said(
@@ -108,20 +111,20 @@
         topic: str,
         listener: Callable[[Target, Any], None],
     ) -> None:
-        """Call ``listener`` with a peer and what it says on a topic.
+        """Call ``listener`` with a peer and each message it sends on ``topic``.
 
-        It raises ValueError or TypeError for what it cannot read.
+        ``listener`` raises ValueError or TypeError for an unreadable message.
         """
         self._on_said[topic] = listener
 
     def start(self) -> None:
-        """Bind and begin to speak and to listen."""
+        """Bind the socket and start the greenlets that send and receive."""
         self._sock.bind()
         spawn(Part.peers_heard, keep_doing, self._listen)
         spawn(Part.peers_told, keep_doing, self._take_turn)
 
     def _take_turn(self) -> None:
-        """Wait for this entry's turn; tell what has changed, or all."""
+        """Wait one interval, then send the changed counts or all counts."""
         peers = len(self._audience.near())
         period_s = max(MIN_PERIOD_S, peers * PERIOD_PER_PEER_S)
         gevent.sleep(period_s)
@@ -143,14 +146,15 @@
         self._tell(CHANGED, changed)
 
     def _risen(self, life: str, kind: WorkKind) -> None:
-        """Tell of one more request or claim at a replica at once."""
+        """Send the count of a replica at once after it has increased."""
         own = self._loads.own(life)
         self._told[life] = own
         self._tell(CHANGED, {life: own})
 
     def _repeat(self) -> None:
         now = self._loads.all_own()
-        # Who is in the audience of these alone hears nothing else.
+        # Some peers receive only the counts of these replicas; without a zero
+        # they would keep the old counts.
         over = dict.fromkeys(self._told.keys() - now.keys(), NO_LOAD)
         self._told = now
         word = list(self._word())
@@ -163,7 +167,7 @@
             self._sock.send([target], {OFFER: list(offer), WORD: word})
 
     def _repeated_news(self) -> dict[str, int]:
-        """Return the news that is told again, once more for each."""
+        """Return the announcements due for a repeat, and count the repeats."""
         news = self._news
         self._news = {
             subject: (version, left - 1)
@@ -179,7 +183,10 @@
         near: Iterable[Target] = (),
         more: Mapping[str, Any] = NOTHING,
     ) -> None:
-        """Tell each count to its audience, and ``near`` peers ``more``."""
+        """Send each count to its audience with ``more``.
+
+        Peers in ``near`` receive ``more`` even if no count goes to them.
+        """
         for group in self._audience.groups(loads, near):
             counts = {life: loads[life] for life in group.lives}
             self._sock.send(group.targets, {kind: _plain(counts), **more})
@@ -208,7 +215,7 @@
             self._on_word(sender, Word(*said[WORD]))
 
     def _take_counts(self, said: dict[str, Any], sender: Target) -> None:
-        """Take what a peer told of its own requests."""
+        """Apply the counts in a peer's message."""
         counts = _counts(said.get(ALL) or said.get(CHANGED) or {})
         if ALL not in said:
             counts = {**self._counts.get(sender, {}), **counts}
@@ -218,7 +225,8 @@
             self._counts[sender] = counts
             self._loads.heard(name, counts)
         else:
-            # It repeats nothing while it has nothing here.
+            # A remote peer without requests here sends no repeats, so its
+            # counts need not be kept.
             self._counts.pop(sender, None)
             self._loads.forget(name)
         if self._on_loads is not None:
@@ -234,4 +242,4 @@
 
 
 def tell_nobody(subject: str, version: int) -> None:
-    """Stand in for an exchange that is not there yet."""
+    """Do nothing, in place of ``PeerExchange.tell`` before there is one."""
--- a/cactusridge/peers/key_questions.py
+++ b/cactusridge/peers/key_questions.py
@@ -1,4 +1,4 @@
-"""Entries ask each other since when what they know of keys is confirmed."""
+"""Requests between entries about how recently API keys were confirmed."""
 
 import itertools
 import random
@@ -15,14 +15,15 @@
 
 ASKED = 'keys_asked'
 TOLD = 'keys_told'
-# A way to any availability zone and back takes under 10 ms.
+# Timeout of a request in seconds; the round trip to any availability zone
+# takes less than 10 ms.
 ANSWER_S = 0.2
-# Peers asked at once, of which one is enough.
+# Peers that receive a request at the same time; one response suffices.
 ASKED_PEERS = 3
 
 
 class KeyQuestions:
-    """Asks peers, and answers them with what this entry has."""
+    """Sends requests to peers, and responds to theirs from local state."""
 
     def __init__(
         self,
@@ -31,7 +32,10 @@
         source: KeySource,
         clock: Clock,
     ) -> None:
-        """Ask those that ``loads`` has heard; answer from ``source``."""
+        """Send to peers with current counts in ``loads``.
+
+        ``source`` provides the responses to the requests of peers.
+        """
         self._peers = peers
         self._loads = loads
         self._source = source
@@ -43,10 +47,11 @@
         peers.on_said(TOLD, self._hear_answer)
 
     def ask(self) -> KeysConfirmed | None:
-        """Return the first answer; None if there is none in time.
+        """Return the first response, or None if none arrives in time.
 
-        Its age is counted from the sending of the question, so that no
-        answer that is late, or read late, makes it younger.
+        The age in the response is counted back from the time the request was
+        sent, so that a response that is delayed or read late does not make the
+        confirmation look more recent than it is.
         """
         heard = sorted(self._loads.heard_lately())
         number = next(self._numbers)
@@ -71,7 +76,7 @@
             self._peers.say_to(peer, TOLD, [raw, confirmed.version, age_s])
 
     def _hear_answer(self, peer: Target, raw: Any) -> None:
-        """Take a peer's answer; raise ValueError or TypeError."""
+        """Apply a peer's response; raises ValueError or TypeError."""
         number, version, age_s = raw
         answer = self._open.get(number)
         if answer is not None:
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -1,4 +1,4 @@
-"""Entries ask each other about the limits of organisations, by datagram."""
+"""Requests between entries about organisations' limits, by datagram."""
 
 import itertools
 from typing import Any
@@ -23,13 +23,13 @@
 TOLD = 'limit_told'
 GIVEN_BACK = 'limit_back'
 LEFT = 'limit_left'
-# A way to any availability zone and back takes under 10 ms; an entry on a
-# small host that is busy takes its time.
+# Timeout of a request in seconds. The round trip to any availability zone
+# takes less than 10 ms, but a busy entry on a small host responds later.
 ANSWER_S = 0.08
 
 
 class LimitQuestions(Asker):
-    """Asks the homes of organisations, and answers as one."""
+    """Sends limit requests to owner entries and responds as an owner."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         home: LimitHome,
         homes: Homes,
     ) -> None:
-        """Speak and hear through ``peers``; answer with ``home``."""
+        """Send and receive through ``peers``; respond from ``home``."""
         self._peers = peers
         self._homes = homes
         self._home = home
@@ -50,7 +50,10 @@
         home.on_counted(self._tell_left)
 
     def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
-        """Ask once and wait for the answer."""
+        """Send one request to an entry and wait for its response.
+
+        Returns None if the response does not arrive within ANSWER_S.
+        """
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
         self._open[number] = answer
@@ -63,7 +66,7 @@
             self._open.pop(number)
 
     def has_ended(self, entry: str) -> bool:
-        """Tell whether a host refuses connections where an entry listens."""
+        """Return whether an entry's host refuses connections at its address."""
         try:
             sock = socket.create_connection(parse_address(entry), ANSWER_S)
         except ConnectionRefusedError:
@@ -74,11 +77,11 @@
         return False
 
     def give_back(self, entry: str, name: str) -> None:
-        """Tell an entry that a request it counted has not run."""
+        """Notify an entry that a request it counted has not run."""
         self._peers.say_to(parse_address(entry), GIVEN_BACK, name)
 
     def _hear_question(self, peer: Target, raw: Any) -> None:
-        """Answer a peer; raise ValueError or TypeError."""
+        """Respond to a peer's request; raises ValueError or TypeError."""
         number, *asked = raw
         told = self._home.answer(_ask_in(*asked))
         self._peers.say_to(peer, TOLD, [number, *told])
@@ -90,14 +93,14 @@
             answer.set(LimitTold(bool(counted), float(wait_s)))
 
     def _tell_left(self, copy: LimitCopy) -> None:
-        """Tell who stands in for this entry what is left."""
+        """Send the remaining tokens of an organisation to its backup owners."""
         name, limit, *more = copy
         for entry in self._homes.ranked(name)[1:]:
             about = [name, list(limit), *more]
             self._peers.say_to(parse_address(entry), LEFT, about)
 
     def _hear_left(self, peer: Target, raw: Any) -> None:
-        """Take what a home has left; raise ValueError or TypeError."""
+        """Apply an owner's remaining tokens; raises ValueError or TypeError."""
         *asked, tokens = raw
         found = _ask_in(*asked, stand_in=False, alone=False)
         copy = LimitCopy(found.name, found.limit, found.version, float(tokens))
@@ -114,7 +117,7 @@
     stand_in: Any,
     alone: Any,
 ) -> LimitAsk:
-    """Return what a peer asks; raise ValueError or TypeError."""
+    """Return a peer's limit request; raises ValueError or TypeError."""
     rate_per_s, burst = map(float, limit)
     return LimitAsk(
         str(name),
--- a/cactusridge/peers/load.py
+++ b/cactusridge/peers/load.py
@@ -1,4 +1,4 @@
-"""What takes up slots of a replica."""
+"""The work that occupies the slots of a replica."""
 
 import enum
 from collections.abc import Mapping
@@ -7,10 +7,11 @@
 
 
 class WorkKind(enum.StrEnum):
-    """What takes up a slot of a replica, now or in a moment.
+    """The kind of work that occupies a slot of a replica, now or soon.
 
-    For ``online`` somebody waits on screen; a ``claim`` is a batch
-    request that its entry sends unless others claim the same slot.
+    A user waits for the response to an ``online`` request. A ``claim``
+    announces a batch request that its entry sends unless other entries claim
+    the same slot.
     """
 
     online = 'online'
@@ -19,7 +20,7 @@
 
 
 class Load(NamedTuple):
-    """Requests at one replica, in flight or waiting there, and claims."""
+    """Numbers of requests at one replica, running or queued, and claims."""
 
     online: int = 0
     batch: int = 0
@@ -27,11 +28,11 @@
 
     @property
     def total(self) -> int:
-        """All requests at the replica."""
+        """The number of requests at the replica, without claims."""
         return self.online + self.batch
 
     def plus(self, other: 'Load') -> 'Load':
-        """Return both together."""
+        """Return the sum of both loads."""
         return Load(
             self.online + other.online,
             self.batch + other.batch,
@@ -39,7 +40,7 @@
         )
 
     def minus(self, other: 'Load') -> 'Load':
-        """Return what is left without ``other``."""
+        """Return the difference of both loads."""
         return Load(
             self.online - other.online,
             self.batch - other.batch,
--- a/cactusridge/peers/loads.py
+++ b/cactusridge/peers/loads.py
@@ -1,4 +1,4 @@
-"""How many requests are at each replica: this entry's and its peers'."""
+"""Counts of requests at each replica, by this entry and its peers."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -10,17 +10,17 @@
 
 
 class LoadTable:
-    """Counts requests at replicas over all entries that can be heard.
+    """Counts the requests at replicas over all reachable entries.
 
-    Counts are by the life of the replica: what was at a former one is
-    not at its successor.
+    Counts are kept by incarnation key: the requests at a replica end with its
+    process and are not inherited by the next incarnation.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no request anywhere."""
-        # Without the replicas at which there is nothing.
+        """Create a table without requests."""
+        # Replicas without a request of this entry are not in it.
         self._own: dict[str, Load] = {}
-        # Of the entries that tell this one of each request themselves.
+        # Counts of the peers that send them to this entry directly.
         self._peers = PeerCounts(clock)
         self._offers = Offers(clock)
         self._listeners: list[Callable[[], None]] = []
@@ -31,12 +31,15 @@
         self._listeners.append(listener)
 
     def on_rise(self, listener: Callable[[str, WorkKind], None]) -> None:
-        """Call ``listener`` with a replica that gets one more, and of what."""
+        """Call ``listener`` after each increase of this entry's counts.
+
+        Its arguments are the incarnation key and the kind of the added work.
+        """
         self._on_rise = listener
 
     @contextlib.contextmanager
     def running(self, life: str, kind: WorkKind) -> Iterator[None]:
-        """Count one request of this entry at a replica while it lasts."""
+        """Count one request of this entry while it is at a replica."""
         self._own[life] = self.own(life).plus(ONE[kind])
         self._tell()
         if self._on_rise is not None:
@@ -47,27 +50,27 @@
             self._end(life, kind)
 
     def own(self, life: str) -> Load:
-        """Return this entry's requests at a replica."""
+        """Return this entry's load at a replica."""
         return self._own.get(life, NO_LOAD)
 
     def all_own(self) -> dict[str, Load]:
-        """Return this entry's requests by the life of the replica."""
+        """Return this entry's load by incarnation key."""
         return dict(self._own)
 
     def heard(self, peer: str, loads: dict[str, Load]) -> None:
-        """Take a peer's counts."""
+        """Replace the counts of a peer by those just received."""
         self._peers.heard(peer, loads)
 
     def heard_offer(self, offer: CellOffer) -> None:
-        """Take what another cell offers this entry."""
+        """Store the offer just received from another cell."""
         self._offers.heard(offer)
 
     def shared(self) -> set[str]:
-        """Return the replicas of other cells of which this entry is told."""
+        """Return the remote replicas whose counts this entry receives."""
         return self._offers.shared()
 
     def offered(self) -> set[str]:
-        """Return the replicas of other cells that offer one more slot."""
+        """Return the remote replicas that offer this entry one more slot."""
         return {
             life
             for life, slots in self._offers.slots().items()
@@ -75,34 +78,34 @@
         }
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that said it stops."""
+        """Remove a peer and its counts."""
         self._peers.forget(peer)
 
     def forget_life(self, life: str) -> None:
-        """Drop what peers counted at a life that is over.
+        """Remove what peers counted at an incarnation that has ended.
 
-        This entry's own requests there count until they have ended.
+        This entry's own requests there are counted until they end.
         """
         self._peers.forget_life(life)
 
     def heard_lately(self) -> Iterator[str]:
-        """Return the peers that have been heard lately."""
+        """Return the names of the peers whose counts are current."""
         return self._peers.heard_lately()
 
     def peers_heard(self) -> bool:
-        """Tell whether any peer has been heard lately."""
+        """Return whether the counts of any peer are current."""
         return any(self.heard_lately())
 
     def age_s(self) -> float:
-        """Return the age of the oldest counts of peers that are heard."""
+        """Return the age of the oldest current counts of a peer, in seconds."""
         return self._peers.age_s()
 
     def peers_at(self, life: str) -> dict[str, Load]:
-        """Return the counts at a replica of each peer with any there."""
+        """Return the load at a replica of each peer that has any there."""
         return self._peers.by_peer(life)
 
     def at(self, life: str) -> Load:
-        """Return the requests of all entries at a replica."""
+        """Return the load of all entries at a replica."""
         return self._peers.sum_at(life).plus(self.own(life))
 
     def _end(self, life: str, kind: WorkKind) -> None:
--- a/cactusridge/peers/offers.py
+++ b/cactusridge/peers/offers.py
@@ -1,10 +1,11 @@
-"""Slots that other cells offer this entry.
-
-Answers cells that get more than their replicas can bear while others have
-room. By counts that are half a second old all entries of a full cell would
-send their excess to the same replicas, and in an overload every cell to all
-others. So each cell divides its free slots among the entries of the others,
-and who is offered none sends nothing there.
+"""Slots at remote replicas that other cells offer to this entry.
+
+A cell can receive more requests than its replicas can take while other cells
+have free slots. Remote counts are half a second old: if entries relied on
+them, all entries of a full cell would send their excess requests to the same
+replicas, and in an overload every cell would send to every other cell. Each
+cell therefore divides its free slots among the remote entries, and an entry
+without an offer sends nothing there.
 """
 
 import random
@@ -12,12 +13,14 @@
 
 from cactusridge.clock import Clock
 
-# Slots of a replica that are not offered: its own cell gets more requests
-# before the next offer.
+# Free slots of a replica that are not offered, because its own cell receives
+# further requests before the next offer.
 KEPT_SLOTS = 2
-# To how many entries each free slot is offered: few need any at a time.
+# Number of entries to which each free slot is offered; only few entries need
+# one at a time.
 OFFERED_TO = 2
-# An offer is repeated every half second; three lost in a row end it.
+# Lifetime of an offer in seconds. Offers are repeated every half second; an
+# offer expires after three lost repeats.
 OFFER_LASTS_S = 1.6
 
 
@@ -27,10 +30,11 @@
     entries: int,
     rng: random.Random,
 ) -> int:
-    """Return how many slots of a replica one of ``entries`` is offered.
+    """Return how many of a replica's slots to offer to one remote entry.
 
-    Batch requests hold no slot that is not free: they yield. What does
-    not divide evenly goes to some of the entries, drawn by ``rng``.
+    Batch requests do not reduce the free slots, because online requests
+    preempt them. ``rng`` decides randomly about the remainder of the division
+    among ``entries``.
     """
     free = max(0, slots - online - KEPT_SLOTS)
     share = free * OFFERED_TO / max(1, entries)
@@ -38,11 +42,11 @@
 
 
 class CellOffer(NamedTuple):
-    """What a cell offers an entry of another one.
+    """The offer of a cell to an entry of another cell.
 
-    ``slots`` are those that its online requests may hold, by life;
-    ``shared`` the replicas of whose requests it is told, so that it can
-    run batch there.
+    ``slots`` maps incarnation keys to the number of online requests that the
+    entry may have there. ``shared`` has the incarnation keys of the replicas
+    whose counts the entry receives, so that it can run batch there.
     """
 
     cell: str
@@ -53,7 +57,7 @@
 def offer_in(raw: list[Any]) -> CellOffer:
     """Return the offer in a datagram.
 
-    Raises ValueError, TypeError or AttributeError for what is none.
+    Raises ValueError, TypeError or AttributeError for a malformed offer.
     """
     cell, slots, shared = raw
     counts = {str(life): int(count) for life, count in slots.items()}
@@ -61,34 +65,34 @@
 
 
 class Heard(NamedTuple):
-    """An offer and until when it counts."""
+    """An offer and the monotonic time at which it expires."""
 
     offer: CellOffer
     until: float
 
 
 class Offers:
-    """What the other cells offered last."""
+    """The last offer of each other cell."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without an offer."""
+        """Create a store without offers."""
         self._clock = clock
         self._cells: dict[str, Heard] = {}
 
     def heard(self, offer: CellOffer) -> None:
-        """Take a cell's offer in place of its last one."""
+        """Replace the last offer of a cell."""
         until = self._clock.monotonic() + OFFER_LASTS_S
         self._cells[offer.cell] = Heard(offer, until)
 
     def slots(self) -> dict[str, int]:
-        """Return the slots that are offered now, by life."""
+        """Return the slots that are offered now, by incarnation key."""
         found: dict[str, int] = {}
         for offer in self._current():
             found.update(offer.slots)
         return found
 
     def shared(self) -> set[str]:
-        """Return the replicas of other cells that may be used for batch."""
+        """Return the remote replicas where this entry may run batch."""
         return {life for offer in self._current() for life in offer.shared}
 
     def _current(self) -> list[CellOffer]:
--- a/cactusridge/peers/peer_counts.py
+++ b/cactusridge/peers/peer_counts.py
@@ -1,8 +1,8 @@
-"""Requests that peers have at replicas, kept as a sum for each replica.
+"""Loads of peers at replicas, kept as a running sum for each replica.
 
-Every request and every look of the batch scheduler asks for the requests
-at all replicas. To add up what each peer said would grow with peers times
-replicas.
+Every request and every poll of the batch scheduler needs the loads at all
+replicas. Summing them up each time would take time proportional to the number
+of peers times the number of replicas.
 """
 
 from collections.abc import Iterator
@@ -11,31 +11,32 @@
 from cactusridge.clock import Clock
 from cactusridge.peers.load import NO_LOAD, Load
 
-# A peer repeats its counts every half second; three repeats lost in a
-# row are a peer that is gone or cut off.
+# Seconds without counts after which a peer is taken for stopped or
+# partitioned. Peers repeat their counts every half second, so that three
+# repeats in a row were lost.
 PEER_SILENCE_S = 1.6
 
 
 class PeerLoads(NamedTuple):
-    """A peer's counts by the life of a replica and when they were received."""
+    """A peer's loads by incarnation key and when they were received."""
 
     loads: dict[str, Load]
     heard_at: float
 
 
 class PeerCounts:
-    """What the peers that are heard said last, by peer and by replica."""
+    """The current counts of peers, by peer and by replica."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without a peer."""
+        """Create a table without peers."""
         self._clock = clock
-        # In the order in which they were heard, the longest silent first.
+        # Ordered by the time of the last counts, the oldest first.
         self._peers: dict[str, PeerLoads] = {}
         self._by_life: dict[str, dict[str, Load]] = {}
         self._sums: dict[str, Load] = {}
 
     def heard(self, peer: str, loads: dict[str, Load]) -> None:
-        """Take a peer's counts in place of its last ones."""
+        """Replace the counts of a peer by those just received."""
         self._drop_silent()
         known = self._peers.pop(peer, None)
         before = known.loads if known else {}
@@ -46,24 +47,24 @@
                 self._put(life, peer, load)
 
     def forget(self, peer: str) -> None:
-        """Drop a peer with its counts."""
+        """Remove a peer and its counts."""
         known = self._peers.pop(peer, None)
         for life in known.loads if known else ():
             self._put(life, peer, NO_LOAD)
 
     def forget_life(self, life: str) -> None:
-        """Drop what peers counted at a life of a replica that is over."""
+        """Remove what peers counted at an incarnation that has ended."""
         for peer in tuple(self._by_life.get(life, ())):
             self._peers[peer].loads.pop(life, None)
             self._put(life, peer, NO_LOAD)
 
     def heard_lately(self) -> Iterator[str]:
-        """Return the peers that have been heard lately."""
+        """Return the names of the peers whose counts are current."""
         self._drop_silent()
         return iter(tuple(self._peers))
 
     def age_s(self) -> float:
-        """Return the age of the oldest counts of peers that are heard."""
+        """Return the age of the oldest current counts of a peer, in seconds."""
         self._drop_silent()
         if not self._peers:
             return 0
@@ -71,12 +72,12 @@
         return self._clock.monotonic() - oldest.heard_at
 
     def by_peer(self, life: str) -> dict[str, Load]:
-        """Return each peer's counts at a replica, without those of none."""
+        """Return the load at a replica of each peer that has any there."""
         self._drop_silent()
         return dict(self._by_life.get(life, {}))
 
     def sum_at(self, life: str) -> Load:
-        """Return the requests of all peers at a replica."""
+        """Return the load of all peers at a replica."""
         self._drop_silent()
         return self._sums.get(life, NO_LOAD)
 
@@ -98,6 +99,7 @@
         total = self._sums.get(life, NO_LOAD).plus(load).minus(before)
         self._sums[life] = total
         if not there:
-            # Replicas come and go for as long as the process runs.
+            # An empty sum is removed, since new replicas keep appearing for as
+            # long as the process runs.
             self._by_life.pop(life)
             self._sums.pop(life)
--- a/cactusridge/peers/peer_socket.py
+++ b/cactusridge/peers/peer_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between entries: one JSON object each."""
+"""The datagram socket between entries; each datagram is a JSON object."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -14,25 +14,25 @@
 
 
 class PeerSocket:
-    """Sends and receives at one address; what fails is logged."""
+    """Sends and receives at one address; send errors are logged."""
 
     def __init__(self, address: Target) -> None:
-        """Speak at ``address`` once bound."""
+        """Create a socket for ``address``, which ``bind`` binds."""
         self.address = address
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
     def bind(self) -> None:
-        """Take the address; raises OSError if somebody else has it."""
+        """Bind the address; raises OSError if it is in use."""
         self._sock.bind(self.address)
 
     def send(self, targets: Iterable[Target], said: Mapping[str, Any]) -> None:
-        """Send the same to each of ``targets``."""
+        """Send the same message to each of ``targets``."""
         raw = orjson.dumps(said)
         for target in targets:
             self.send_to(target, raw)
 
     def send_to(self, target: Target, raw: bytes) -> None:
-        """Send ``raw`` to one peer."""
+        """Send the datagram ``raw`` to one peer."""
         METER.steps['counts_told'] += 1
         try:
             self._sock.sendto(raw, target)
@@ -44,7 +44,7 @@
             )
 
     def receive(self) -> tuple[bytes, Target]:
-        """Wait for a datagram; raises OSError."""
+        """Wait for a datagram and return it with its sender; raises OSError."""
         raw, sender = self._sock.recvfrom(MAX_DATAGRAM)
         METER.steps['counts_heard'] += 1
         return raw, sender
--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -1,4 +1,4 @@
-"""Entries tell each other under which requests replicas crash."""
+"""Exchanges strikes, the recorded crashes of replicas, between entries."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -14,29 +14,30 @@
 
 
 class PeerStrikes(StrikeListener):
-    """Tells every entry of a strike at once, with all those before it.
+    """Sends each new strike of this entry to all peers at once.
 
-    The caller may be at another entry within a moment. What a lost
-    datagram had is in the next one about the same request.
+    The caller may retry at another entry within a moment. Each datagram has
+    all strikes of the request, so that it makes up for datagrams that were
+    lost before.
     """
 
     def __init__(self, peers: PeerExchange, suspects: Suspects) -> None:
-        """Speak and hear through ``peers``."""
+        """Send and receive through ``peers``."""
         self._peers = peers
         self._suspects = suspects
         peers.on_said(STRIKES, self._hear)
         peers.on_said(WITHDRAWN, self._hear_withdrawn)
 
     def struck(self, strikes: Sequence[Strike]) -> None:
-        """Tell of all strikes against one request."""
+        """Send all strikes of one request to all peers."""
         self._peers.say(STRIKES, [list(each) for each in strikes])
 
     def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Tell that strikes were taken back."""
+        """Send the withdrawal of strikes to all peers."""
         self._peers.say(WITHDRAWN, [list(each) for each in pairs])
 
     def _hear(self, peer: Target, raw: Any) -> None:
-        """Take a peer's strikes; raise ValueError or TypeError."""
+        """Apply strikes from a peer; raises ValueError or TypeError."""
         self._suspects.hear([_strike_in(each) for each in raw])
 
     def _hear_withdrawn(self, peer: Target, raw: Any) -> None:
--- a/cactusridge/peers/word.py
+++ b/cactusridge/peers/word.py
@@ -1,15 +1,15 @@
-"""What an entry tells its peers of itself."""
+"""The status that an entry sends to its peers."""
 
 from typing import NamedTuple
 
 
 class Word(NamedTuple):
-    """What an entry tells of itself.
+    """The status of an entry, as it sends it to its peers.
 
-    ``version`` is that of the configuration in force there,
-    ``has_store`` whether the store answers it, ``store_s`` for how many
-    seconds it has done so without an outage; 0 vouches for nothing, as
-    the word of an entry that does not tell it yet.
+    ``version`` is the version of the configuration in force there.
+    ``has_store`` is whether the store responds to the entry, and ``store_s``
+    for how many seconds it has done so without an outage. A ``store_s`` of 0
+    vouches for no time, as for an entry that does not send the field.
     """
 
     version: int
--- a/cactusridge/quarantine/__init__.py
+++ b/cactusridge/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Holds requests back that crash the replicas that run them."""
+"""Quarantines requests that crash the replicas that run them."""
--- a/cactusridge/quarantine/fingerprint.py
+++ b/cactusridge/quarantine/fingerprint.py
@@ -1,8 +1,12 @@
-"""Which requests are the same one, whoever takes them and when."""
+"""Fingerprints that identify repeats of a request.
+
+A repeat has the same fingerprint at every entry and at any time.
+"""
 
 import hashlib
 
-# Bytes of a fingerprint: two requests never share one by chance.
+# Length of a fingerprint in bytes; long enough to rule out accidental
+# collisions.
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
 
@@ -14,11 +18,11 @@
     target: str,
     body: bytes,
 ) -> str:
-    """Return what all repeats of a request have in common, as hex digits.
+    """Return the fingerprint of a request as hex digits.
 
-    Ids, deadlines and other headers differ from repeat to repeat. The
-    hash is a cryptographic one, so that no caller can have another's
-    request taken for its own.
+    Request ids, deadlines and other headers differ between repeats and are not
+    part of it. The hash is cryptographic, so that no caller can craft a
+    request that is taken for the request of another caller.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (caller, method, host, target):
@@ -28,6 +32,6 @@
 
 
 def _add(digest: hashlib.blake2b, part: bytes) -> None:
-    """Hash a part with its length, so that no text counts for two."""
+    """Hash a part with its length, so that adjacent parts stay distinct."""
     digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
     digest.update(part)
--- a/cactusridge/quarantine/policies.py
+++ b/cactusridge/quarantine/policies.py
@@ -1,4 +1,4 @@
-"""The rules of quarantine by the names that start settings have for them."""
+"""The quarantine rules by their names in the start settings."""
 
 from types import MappingProxyType
 
--- a/cactusridge/quarantine/rules.py
+++ b/cactusridge/quarantine/rules.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, by the strikes against them."""
+"""Rules that decide from strikes which requests are quarantined."""
 
 import abc
 import itertools
@@ -6,30 +6,32 @@
 
 from cactusridge.quarantine.strike import HELD_AT, POINTS, Stage, Strike
 
-# Strikes by the life of the replica, by fingerprint.
+# Strikes by fingerprint, then by incarnation key of the replica.
 Strikes = Mapping[str, Mapping[str, Strike]]
 
 
 class QuarantineRule(abc.ABC):
-    """Decides who is held back."""
+    """Decides which requests are quarantined."""
 
     @abc.abstractmethod
     def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return the fingerprints that are held back now."""
+        """Return the fingerprints of the requests quarantined now."""
 
 
 class ByCrashes(QuarantineRule):
-    """Holds back what has crashed three replicas.
-
-    Answers requests that crash every replica that begins to run them and
-    come again and again. All that runs on such a replica breaks off with
-    it, long batch items and retried requests several times in a row. So
-    what has begun and brought nothing counts most, and a crash under a
-    request that is held back for certain counts against nobody else.
+    """Quarantines requests whose strikes reach a threshold of points.
+
+    The rule stops requests that crash every replica that starts to run them
+    and that callers keep sending. A crash also interrupts all other requests
+    on the replica, and a long batch item or a retried request can be
+    interrupted several times in a row. A strike of a request that had started
+    without output therefore counts most. A crash of a replica under a request
+    that is certainly a cause does not count against the other requests that
+    were there.
     """
 
     def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return the causes that are certain, and what they leave open."""
+        """Return the certain causes and the suspects of all other crashes."""
         certain = frozenset(
             found for found, lives in strikes.items() if _is_certain(lives)
         )
@@ -45,10 +47,10 @@
 
 
 class HoldNothing(QuarantineRule):
-    """Naive: every request is run, whatever it has done."""
+    """Naive rule: quarantines no request, whatever crashes it caused."""
 
     def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return that nothing is held back."""
+        """Return an empty set."""
         return frozenset()
 
 
--- a/cactusridge/quarantine/strike.py
+++ b/cactusridge/quarantine/strike.py
@@ -1,41 +1,41 @@
-"""That a request was at work on a replica when that ended."""
+"""Strikes: records of a replica's crash under a request."""
 
 import enum
 from types import MappingProxyType
 from typing import NamedTuple
 
-# What it takes to be held back, in parts of a strike: a request that
-# crashes replicas has ended three.
+# The sum of points at which a request is quarantined: three strikes in stage
+# ``begun``, that is, three crashed replicas.
 HELD_AT = 6
 
 
 class Stage(enum.StrEnum):
-    """How far a run had come when its replica broke off."""
+    """How far a request had progressed when its replica broke off."""
 
-    # It may still have waited there for a slot.
+    # The request may still have been waiting for a slot of the replica.
     queued = 'queued'
-    # It had begun, and had brought nothing yet.
+    # The request had started and had produced no output yet.
     begun = 'begun'
-    # It had brought some of its output.
+    # The request had produced part of its output.
     answering = 'answering'
 
 
-# One that has begun and brings nothing is the likeliest cause; the others
-# mostly share the replica with it.
+# A request that has started without output is the likeliest cause of a crash.
+# Requests in other stages usually only shared the replica with it.
 POINTS = MappingProxyType(
     {Stage.queued: 1, Stage.begun: 2, Stage.answering: 1},
 )
 
 
-# A fingerprint and the life of a replica.
+# A fingerprint and the incarnation key of a replica.
 Pair = tuple[str, str]
 
 
 class Strike(NamedTuple):
-    """One end of a replica under a request.
+    """A recorded crash of a replica under a request.
 
-    ``life`` is the key of one life of the replica; the same life counts
-    once for a request. ``at`` is when it was noted, in Unix seconds.
+    ``life`` is the incarnation key of the replica; each incarnation counts
+    once per request. ``at`` is when the strike was recorded, in Unix seconds.
     """
 
     fingerprint: str
@@ -45,10 +45,10 @@
 
     @property
     def pair(self) -> Pair:
-        """What tells it from other strikes."""
+        """The fingerprint and incarnation key that identify the strike."""
         return self.fingerprint, self.life
 
     @property
     def points(self) -> int:
-        """How much it speaks against the request."""
+        """The weight of the strike as evidence against the request."""
         return POINTS[self.stage]
--- a/cactusridge/quarantine/strike_book.py
+++ b/cactusridge/quarantine/strike_book.py
@@ -1,4 +1,4 @@
-"""The strikes that one entry knows, its own and those of its peers."""
+"""The strikes known to one entry, its own and those of its peers."""
 
 from collections import OrderedDict, defaultdict
 from collections.abc import Iterable
@@ -8,44 +8,45 @@
 from cactusridge.quarantine.rules import QuarantineRule
 from cactusridge.quarantine.strike import Pair, Strike
 
-# A strike counts for this long, in seconds.
+# Lifetime of a strike, in seconds.
 STRIKE_LASTS_S = 3600
-# A replica that has crashed is back after this many seconds at the least.
+# Shortest time in which a crashed replica can be serving again, in seconds.
 BACK_S = 1.0
-# Requests with strikes that are kept; the oldest go first.
+# Limits how many requests have their strikes kept; the request that was added
+# first is evicted first.
 MAX_REQUESTS = 4096
-# Strikes taken back that are remembered, so that a peer that has not
-# heard of it does not bring them back.
+# Limits how many withdrawn strikes are remembered. A peer that has not yet
+# received a withdrawal may send the strike again.
 MAX_WITHDRAWN = 16_384
 
 
 class Noted(NamedTuple):
-    """A strike and when this entry heard of it, on its own clock."""
+    """A strike and the monotonic time at which this entry recorded it."""
 
     strike: Strike
     noted_at: float
 
 
 class StrikeBook:
-    """Strikes by request and by life of the replica.
+    """Strikes by request and by incarnation of the replica.
 
-    Entries may hear of strikes in any order and more than once; who has
-    heard the same holds the same requests back.
+    Strikes may arrive in any order and more than once. Entries that have
+    received the same strikes quarantine the same requests.
     """
 
     def __init__(self, rule: QuarantineRule, clock: Clock) -> None:
-        """Hold back by ``rule``."""
+        """Create an empty book whose quarantines follow ``rule``."""
         self._rule = rule
         self._clock = clock
         self._noted: OrderedDict[str, dict[str, Noted]] = OrderedDict()
         self._at_life: defaultdict[str, set[str]] = defaultdict(set)
         self._withdrawn: OrderedDict[Pair, None] = OrderedDict()
-        # None: to be found anew.
+        # None means that the set must be computed again.
         self._held: frozenset[str] | None = frozenset()
         self._held_until = float('inf')
 
     def add(self, strike: Strike) -> bool:
-        """Note a strike; tell whether it is new and counts."""
+        """Record a strike; return whether it is new and still valid."""
         if self._is_over(strike) or self._knows(strike):
             return False
         found = self._noted.setdefault(strike.fingerprint, {})
@@ -59,7 +60,7 @@
         return True
 
     def withdraw(self, pairs: Iterable[Pair]) -> list[Pair]:
-        """Take strikes back for good; return those that were known."""
+        """Withdraw strikes permanently; return those that were known."""
         known = []
         for fingerprint, life in pairs:
             self._withdrawn[(fingerprint, life)] = None
@@ -71,7 +72,7 @@
         return known
 
     def held(self) -> frozenset[str]:
-        """Return the fingerprints of the requests that are held back."""
+        """Return the fingerprints of the quarantined requests."""
         if self._held is None or self._clock.wall() >= self._held_until:
             self._forget_old()
             self._held = self._rule.held(self._strikes())
@@ -79,21 +80,27 @@
         return self._held
 
     def held_for_s(self, fingerprint: str) -> float:
-        """Return how long a request is held back at the least, in s."""
+        """Return the seconds until the oldest strike of a request expires.
+
+        The request stays in quarantine for at least this long, unless strikes
+        are withdrawn.
+        """
         found = self._noted.get(fingerprint, {}).values()
         first_at = min((each.strike.at for each in found), default=0)
         return max(0, first_at + STRIKE_LASTS_S - self._clock.wall())
 
     def strikes(self, fingerprint: str) -> list[Strike]:
-        """Return what is known against a request."""
+        """Return the known strikes of a request."""
         found = self._noted.get(fingerprint, {}).values()
         return [each.strike for each in found]
 
     def disproved(self, life: str, sent_at: float) -> list[Pair]:
-        """Return the strikes that an answer to a later request disproves.
+        """Return the strikes that a response from a replica disproves.
 
-        Old ones stay: the replica may be back under its id, before this
-        entry has read that it is another life.
+        ``sent_at`` is the monotonic time at which the answered request was
+        sent. A strike recorded before it is disproved, because the incarnation
+        still serves. Strikes older than BACK_S stay: the replica may have
+        restarted under its id before this entry has read its new start time.
         """
         back_at = self._clock.monotonic() - BACK_S
         return [
@@ -103,7 +110,7 @@
         ]
 
     def is_withdrawn(self, pair: Pair) -> bool:
-        """Tell whether a strike was taken back."""
+        """Return whether a strike has been withdrawn."""
         return pair in self._withdrawn
 
     def _knows(self, strike: Strike) -> bool:
@@ -130,7 +137,7 @@
             self._remove(*pair)
 
     def _next_end(self) -> float:
-        """Return when the next strike ceases to count, in Unix seconds."""
+        """Return when the next strike expires, in Unix seconds."""
         begun = (
             noted.strike.at
             for lives in self._noted.values()
--- a/cactusridge/quarantine/strike_listener.py
+++ b/cactusridge/quarantine/strike_listener.py
@@ -1,4 +1,4 @@
-"""Who passes on what one entry has found out about requests."""
+"""The interface for objects that publish the strikes of one entry."""
 
 import abc
 from collections.abc import Sequence
@@ -7,12 +7,12 @@
 
 
 class StrikeListener(abc.ABC):
-    """Is told of what this entry itself has seen."""
+    """Is notified of the strikes and withdrawals of this entry itself."""
 
     @abc.abstractmethod
     def struck(self, strikes: Sequence[Strike]) -> None:
-        """Pass on all strikes known against one request."""
+        """Publish all known strikes of one request."""
 
     @abc.abstractmethod
     def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Pass on that strikes were taken back."""
+        """Publish the withdrawal of strikes."""
--- a/cactusridge/quarantine/strike_poll.py
+++ b/cactusridge/quarantine/strike_poll.py
@@ -1,4 +1,4 @@
-"""Reads the strikes of all entries from a table that nobody watches."""
+"""Polls the strikes of all entries from a table without a watch."""
 
 import contextlib
 
@@ -10,16 +10,16 @@
 
 
 class StrikePoll:
-    """Passes the rows below a prefix on, each time it is asked to."""
+    """Passes all rows below a prefix to the strike store at each poll."""
 
     def __init__(self, table: Table, prefix: str, store: StrikeStore) -> None:
-        """Pass them on to ``store``."""
+        """Poll ``table`` below ``prefix`` for ``store``."""
         self._table = table
         self._prefix = prefix
         self._store = store
 
     def step(self) -> None:
-        """Read everything once; the store may be away."""
+        """Read all rows once; log a warning if the store is unavailable."""
         try:
             rows = list(scan_all(self._table, self._prefix, Priority.settings))
         except StoreUnavailable as exc:
@@ -27,6 +27,6 @@
             return
         self._store.keep_only({row.key for row in rows})
         for row in rows:
-            # What cannot be read is logged by its reader; the others count.
+            # The reader logs an unreadable row; the other rows are still used.
             with contextlib.suppress(UnreadableRecord):
                 self._store.put(row)
--- a/cactusridge/quarantine/strike_row.py
+++ b/cactusridge/quarantine/strike_row.py
@@ -1,4 +1,4 @@
-"""A strike as a row of the store."""
+"""Conversion between strikes and rows of the store."""
 
 from cactusridge.hashing import hash64
 from cactusridge.quarantine.strike import Pair, Stage, Strike
@@ -7,9 +7,10 @@
 
 
 def strike_key(prefix: str, pair: Pair) -> str:
-    """Return the key of a strike below ``prefix``.
+    """Return the key of a strike's row below ``prefix``.
 
-    It has a hash of the life, which may be longer than a key.
+    The key contains a hash of the incarnation key, which may itself be longer
+    than a row key can be.
     """
     fingerprint, life = pair
     return f'{prefix}{fingerprint}.{hash64(life):016x}'
@@ -21,7 +22,7 @@
 
 
 def strike_in(row: Row) -> Strike:
-    """Return the strike in a row; raise UnreadableField."""
+    """Return the strike in a row; raises UnreadableField."""
     fields = Fields(row.value)
     return Strike(
         fields.text('fingerprint'),
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -1,4 +1,4 @@
-"""Keeps strikes in the store, for entries that start or come back later."""
+"""Keeps strikes in the store for entries that start or reconnect later."""
 
 from collections.abc import Iterable, Sequence
 
@@ -21,16 +21,16 @@
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
 from cactusridge.store.table_follower import TableListener
 
-# Rows in one transaction; the store takes a hundred.
+# Rows written in one transaction; the store accepts at most 100.
 MAX_WRITES = 90
 RETRY_S = 0.5
 
 
 class StrikeStore(StrikeListener, TableListener):
-    """Writes this entry's strikes and takes in those of all.
+    """Writes the strikes of this entry and reads those of all entries.
 
-    A strike whose row is gone counts no more: another entry has taken it
-    back, or an operator has removed it.
+    A strike whose row has been removed no longer counts: another entry has
+    withdrawn it, or an operator has deleted it.
     """
 
     def __init__(
@@ -41,7 +41,10 @@
         clock: Clock,
         least: int,
     ) -> None:
-        """Store below ``prefix`` the requests that have ``least`` strikes."""
+        """Keep strikes below ``prefix`` of ``table``.
+
+        Only strikes of requests with at least ``least`` of them are stored.
+        """
         self._table = table
         self._prefix = prefix
         self._suspects = suspects
@@ -53,20 +56,20 @@
         self._stored: dict[str, Pair] = {}
 
     def struck(self, strikes: Sequence[Strike]) -> None:
-        """Store the strikes against a request, if they are enough."""
+        """Store the strikes of a request if there are enough of them."""
         if len(strikes) >= self._least:
             writes = [strike_write(self._prefix, each) for each in strikes]
             self._save(each for each in writes if each.key not in self._stored)
 
     def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Remove strikes from the store, where they are in it."""
+        """Remove withdrawn strikes from the store if it has them."""
         keys = [strike_key(self._prefix, pair) for pair in pairs]
         for key in keys:
             self._unsaved.pop(key, None)
         self._save(Write(key, None) for key in keys if key in self._stored)
 
     def put(self, row: Row) -> None:
-        """Take a row; raise UnreadableRecord."""
+        """Apply a row that was read; raises UnreadableRecord."""
         strike = self._reader.read(row, strike_in)
         if strike is None:
             self._forget({row.key})
@@ -75,15 +78,16 @@
         self._suspects.hear([strike])
         over = strike.at + STRIKE_LASTS_S <= self._clock.wall()
         if over or self._suspects.is_withdrawn(strike.pair):
-            # Nobody needs it any more, or its removal was overtaken.
+            # The strike has expired, or the write that stored it was applied
+            # after its removal.
             self._save([Write(row.key, None)])
 
     def keep_only(self, keys: set[str]) -> None:
-        """Forget the strikes whose rows are gone."""
+        """Discard the strikes whose rows no longer exist."""
         self._forget(self._stored.keys() - keys)
 
     def step(self) -> None:
-        """Wait for something to write, then write it."""
+        """Wait for pending writes, then write them; back off on failure."""
         self._wake.wait()
         self._wake.clear()
         try:
--- a/cactusridge/quarantine/suspects.py
+++ b/cactusridge/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""What an entry knows of requests that crash replicas."""
+"""Quarantines requests from the crash evidence known to one entry."""
 
 from collections.abc import Iterable, Sequence
 
@@ -12,38 +12,38 @@
 
 
 class Suspects:
-    """Notes under which requests replicas end; holds some of them back.
+    """Records the requests under which replicas crash; quarantines some.
 
-    Guards against requests that take one replica after the other with
-    them, and all that runs there, for as long as they are brought.
+    A request that crashes its replica would otherwise crash one replica after
+    another, with all requests running there, for as long as callers send it.
     """
 
     def __init__(self, rule: QuarantineRule, clock: Clock) -> None:
-        """Hold back by ``rule``."""
+        """Create an object that quarantines by ``rule``."""
         self._book = StrikeBook(rule, clock)
         self._clock = clock
         self._listeners: list[StrikeListener] = []
         self._held: frozenset[str] = frozenset()
 
     def pass_on(self, listener: StrikeListener) -> None:
-        """Tell ``listener`` of what this entry sees."""
+        """Notify ``listener`` of strikes and withdrawals of this entry."""
         self._listeners.append(listener)
 
     def check(self, fingerprint: str) -> None:
-        """Return if a request may run, else raise Quarantined."""
+        """Return if a request may run; raises Quarantined otherwise."""
         if not self.is_held(fingerprint):
             return
         raise Quarantined(
-            'replicas have crashed while they ran it',
+            'replicas have crashed while running this request',
             retry_after_s=self._book.held_for_s(fingerprint),
         )
 
     def is_held(self, fingerprint: str) -> bool:
-        """Tell whether a request is held back."""
+        """Return whether a request is quarantined."""
         return fingerprint in self._book.held()
 
     def crashed(self, fingerprint: str, life: str, stage: Stage) -> None:
-        """Note that a replica has ended while it had this request."""
+        """Record that a replica crashed while it had this request."""
         strike = Strike(fingerprint, life, stage, self._clock.wall())
         if not self._add(strike):
             return
@@ -52,28 +52,29 @@
             listener.struck(known)
 
     def answered(self, life: str, sent_at: float) -> None:
-        """Note that a replica answers a request sent at ``sent_at``.
+        """Record that a replica responded to a request sent at ``sent_at``.
 
-        It lives, so it has not crashed under what broke off there before.
+        ``sent_at`` is a monotonic time. The replica is running, so it did not
+        crash under the requests that broke off there earlier.
         """
         self._take_back(self._book.disproved(life, sent_at))
 
     def survived(self, fingerprint: str) -> None:
-        """Note that a replica has run this request to its end."""
+        """Record that a replica has run this request to completion."""
         found = self._book.strikes(fingerprint)
         self._take_back([each.pair for each in found])
 
     def hear(self, strikes: Iterable[Strike]) -> None:
-        """Take strikes that another entry has noted."""
+        """Add strikes received from another entry."""
         for strike in strikes:
             self._add(strike)
 
     def is_withdrawn(self, pair: Pair) -> bool:
-        """Tell whether a strike is known to have been taken back."""
+        """Return whether a strike is known to be withdrawn."""
         return self._book.is_withdrawn(pair)
 
     def hear_withdrawn(self, pairs: Iterable[Pair]) -> None:
-        """Take it that another entry has taken strikes back."""
+        """Apply withdrawals received from another entry."""
         if self._book.withdraw(pairs):
             self._report_held()
 
@@ -100,7 +101,7 @@
         return True
 
     def _report_held(self) -> None:
-        """Log who is held back from now on and who no longer is."""
+        """Log which requests enter and leave quarantine; update the metric."""
         held = self._book.held()
         for caught in held - self._held:
             lives = [each.life for each in self._book.strikes(caught)]
--- a/cactusridge/routing/__init__.py
+++ b/cactusridge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about replicas: choice, ejection, retries, membership."""
+"""Decisions about replicas: selection, ejection, retries, membership."""
--- a/cactusridge/routing/candidates.py
+++ b/cactusridge/routing/candidates.py
@@ -1,15 +1,17 @@
-"""What the choice of a replica looks at."""
+"""The inputs to the selection of a replica."""
 
 from typing import NamedTuple
 
 
 class Candidate(NamedTuple):
-    """A replica as this entry sees it now.
-
-    ``own`` counts this entry's requests in flight there, ``reported``
-    all requests at its last report, ``own_then`` this entry's at that
-    time, ``age_s`` the seconds since. ``limit`` is its concurrency,
-    ``sharers`` the number of entries that send to it.
+    """The state of a replica as known to this entry.
+
+    ``own`` counts this entry's in-flight requests there. ``reported`` counts
+    all online requests in the replica's last report, ``own_then`` those of
+    this entry at that time, and ``age_s`` is the age of the report in seconds.
+    ``limit`` is the concurrency of the replica, ``wait_s`` the waiting time
+    in that report in seconds, and ``sharers`` the number of entries that send
+    requests to it.
     """
 
     key: str
@@ -24,7 +26,7 @@
 
 
 class PickRequest(NamedTuple):
-    """The request to place: where the entry is, what the prompt begins with."""
+    """The request to place: the entry's zone and the start of the prompt."""
 
     zone: str
     prefix: bytes = b''
@@ -34,12 +36,13 @@
 
 
 def load_of(candidate: Candidate) -> float:
-    """Return the load as a share of the replica's limit.
+    """Return the load as a share of the replica's concurrency limit.
 
-    This entry's own requests are always known. The others' are as the
-    last report has them while it is fresh; as it ages they are taken to
-    be like this entry's own. Else every entry would go on choosing the
-    replica whose report happened to be low.
+    The number of this entry's own requests is always exact. The last report
+    provides the number of all other requests while it is fresh. As the report
+    ages, each other entry is assumed to have as many requests as this one.
+    Otherwise all entries would keep choosing a replica whose last report
+    happened to be low.
     """
     then = max(0, candidate.reported - candidate.own_then)
     like_own = candidate.own * (candidate.sharers - 1)
--- a/cactusridge/routing/membership.py
+++ b/cactusridge/routing/membership.py
@@ -1,4 +1,4 @@
-"""Which word on a host is believed: the list's or the host's own."""
+"""Combines a host's listed state with its own responses to probes."""
 
 import enum
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Belief(enum.StrEnum):
-    """What an entry makes of a host."""
+    """The state of a host as an entry judges it."""
 
     serving = 'serving'
     leaving = 'leaving'
@@ -19,13 +19,13 @@
 
 
 class Evidence(NamedTuple):
-    """What is known of a host.
+    """What an entry knows about a host.
 
-    ``listed`` is the list's word, None once it is not listed any more;
-    ``unlisted_s`` the seconds since then. ``heard_s`` is the seconds
-    since the host itself last answered, None if it never has.
-    ``draining`` is the host's own word in that answer; ``probe_s`` how
-    often it is asked.
+    ``listed`` is the host's state in the membership list, None once it is no
+    longer listed. ``unlisted_s`` is the seconds since it left the list.
+    ``heard_s`` is the seconds since the host last responded to a probe, None
+    if it never has. ``draining`` is what the host reported in that response.
+    ``probe_s`` is the interval of the probes in seconds.
     """
 
     listed: HostState | None
@@ -36,13 +36,15 @@
 
 
 def judge(evidence: Evidence) -> Belief:
-    """Return what to make of a host.
-
-    Its own word to leave is final for this incarnation. The list's word
-    to leave is believed too, since either alone must do. A host that
-    has not answered for some probes gets no new work, whatever the
-    list says; one that answers but is not listed is served on for a
-    time, since the list lags, and then let go.
+    """Return the state of a host.
+
+    A host that has reported that it drains counts as leaving for the rest of
+    its incarnation. A host that is listed as leaving counts as such too,
+    because either source alone must be enough. A host that has not responded
+    for SILENT_PROBES probes gets no new work, whatever the list says. An
+    unlisted host that responds is still used for UNLISTED_S seconds, because
+    the list can lag behind. After that, or if it does not respond, it counts
+    as gone.
     """
     patience_s = SILENT_PROBES * evidence.probe_s
     silent = evidence.heard_s is None or evidence.heard_s > patience_s
--- a/cactusridge/routing/outliers.py
+++ b/cactusridge/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Ejects replicas that fail or are slow, and lets them back by trials."""
+"""Ejects failing or slow replicas and readmits them after trial requests."""
 
 import abc
 import statistics
@@ -20,7 +20,12 @@
 
 
 class Health(NamedTuple):
-    """What is known of one replica from its answers."""
+    """The health of one replica as its responses show it.
+
+    ``pace_s`` is the last pace in seconds per token, ``pause_s`` the length of
+    the next ejection in seconds, ``ejected_until`` a monotonic time, and
+    ``trials`` the number of trial requests that must still succeed.
+    """
 
     failures: int = 0
     pace_s: float = 0
@@ -31,24 +36,24 @@
 
 
 class OutlierDetector(abc.ABC):
-    """Says which replicas may be chosen."""
+    """Decides which replicas may be chosen."""
 
     @abc.abstractmethod
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Note an answer of a replica whose pace is ``pace_s`` a token.
+        """Record a response of a replica with a pace of ``pace_s``.
 
-        The pace is the engine's, not the caller's wait: a queue says
-        that there is much to do, not that the replica is bad. 0 means
-        that there is none, as with plain services.
+        The pace is the engine's time per token in seconds, without the time in
+        a queue: a long queue means much work and not a bad replica. Plain
+        services have no pace; it is 0 for them.
         """
 
     @abc.abstractmethod
     def failed(self, key: str, certain: bool = False) -> None:
-        """Note a failure; ``certain`` if no request can have caused it."""
+        """Record a failure; ``certain`` if no request can have caused it."""
 
     @abc.abstractmethod
     def forget(self, key: str) -> None:
-        """Drop what is known of a replica that is over for good."""
+        """Discard the health of a replica incarnation that has ended."""
 
     @abc.abstractmethod
     def allowed(self, keys: Iterable[str]) -> set[str]:
@@ -56,27 +61,27 @@
 
 
 class TrustAll(OutlierDetector):
-    """Naive: every replica is as good as the next."""
+    """Naive detector: never ejects a replica."""
 
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Pass over the answer."""
+        """Ignore the response."""
 
     def failed(self, key: str, certain: bool = False) -> None:
-        """Pass over the failure."""
+        """Ignore the failure."""
 
     def forget(self, key: str) -> None:
-        """There is nothing to drop."""
+        """Do nothing, since no health is kept."""
 
     def allowed(self, keys: Iterable[str]) -> set[str]:
-        """Return all of them."""
+        """Return all ``keys``."""
         return set(keys)
 
 
 class OutlierEjector(OutlierDetector):
-    """Ejects after failures in a row or at a multiple of the median pace.
+    """Ejects on consecutive failures or a pace far above the median.
 
-    At most half of the replicas are out at once. After a pause a
-    replica gets a few trial requests; only their success brings it back.
+    At most half of the replicas are excluded at once. After its ejection a
+    replica gets a few trial requests; only their success readmits it.
     """
 
     def __init__(
@@ -86,9 +91,12 @@
         first_pause_s: float = FIRST_PAUSE_S,
         max_pause_s: float = MAX_PAUSE_S,
     ) -> None:
-        """Start with every replica trusted.
+        """Create a detector that has ejected no replica.
 
-        ``failures`` in a row eject; pauses, in seconds, double.
+        ``failures`` is the number of consecutive failures that eject a
+        replica. The first ejection lasts ``first_pause_s`` seconds. Each
+        further one before the replica is readmitted lasts twice as long, up to
+        ``max_pause_s``.
         """
         self._clock = clock
         self._failures = failures
@@ -97,11 +105,11 @@
         self._health: OrderedDict[str, Health] = OrderedDict()
 
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Note an answer of a replica whose pace is ``pace_s`` a token.
+        """Record a response of a replica with a pace of ``pace_s``.
 
-        The pace is the engine's, not the caller's wait: a queue says
-        that there is much to do, not that the replica is bad. 0 means
-        that there is none, as with plain services.
+        The pace is the engine's time per token in seconds, without the time in
+        a queue: a long queue means much work and not a bad replica. Plain
+        services have no pace; it is 0 for them.
         """
         old = self._health.get(key, self._unknown())
         health = old._replace(
@@ -120,14 +128,17 @@
             self._eject(key)
 
     def failed(self, key: str, certain: bool = False) -> None:
-        """Note a failure; a certain one, or a failed trial, ejects at once."""
+        """Record a failure.
+
+        A certain failure or a failed trial request ejects the replica at once.
+        """
         old = self._health.get(key, self._unknown())
         self._keep(key, old._replace(failures=old.failures + 1))
         if certain or old.trials or old.failures + 1 >= self._failures:
             self._eject(key)
 
     def forget(self, key: str) -> None:
-        """Drop what is known of a replica that is over for good."""
+        """Discard the health of a replica incarnation that has ended."""
         self._health.pop(key, None)
 
     def allowed(self, keys: Iterable[str]) -> set[str]:
@@ -135,7 +146,8 @@
         known = set(keys)
         out = {key for key in known if self._is_out(key)}
         bound = int(len(known) * MAX_SHARE)
-        # Over the floor, those that come back soonest are let in.
+        # If more than MAX_SHARE of the replicas are ejected, those whose
+        # ejection ends first are allowed nevertheless.
         by_return = sorted(
             out,
             key=lambda key: self._health[key].ejected_until,
@@ -150,7 +162,7 @@
         self._health[key] = health
         self._health.move_to_end(key)
         if len(self._health) > MAX_TRACKED:
-            # The one not heard of for longest is long gone.
+            # The least recently updated replica has probably ended long ago.
             self._health.popitem(last=False)
 
     def _is_out(self, key: str) -> bool:
--- a/cactusridge/routing/pickers.py
+++ b/cactusridge/routing/pickers.py
@@ -1,4 +1,4 @@
-"""Choice of a replica; the naive ways stand beside the one in use."""
+"""Policies that select a replica, including naive ones for comparison."""
 
 import abc
 import itertools
@@ -15,7 +15,7 @@
 
 
 class ReplicaPicker(abc.ABC):
-    """Chooses one of the candidates."""
+    """Selects one of the candidates."""
 
     @abc.abstractmethod
     def pick(
@@ -27,10 +27,10 @@
 
 
 class RoundRobinPicker(ReplicaPicker):
-    """Naive: one after the other, whatever their load."""
+    """Naive policy: selects replicas in turn, whatever their load."""
 
     def __init__(self) -> None:
-        """Start at the first."""
+        """Start with the first candidate."""
         self._turn = itertools.count()
 
     def pick(
@@ -38,15 +38,19 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the next replica in turn."""
+        """Return the next candidate in turn."""
         return candidates[next(self._turn) % len(candidates)]
 
 
 class LeastOfFewPicker(ReplicaPicker):
-    """The least loaded of a few at random, in the same zone if not dearer."""
+    """Selects the least loaded of a few candidates drawn at random.
+
+    The candidates are those in the zone of the entry, unless a candidate in
+    another zone has a lower load than all of them.
+    """
 
     def __init__(self, rng: random.Random) -> None:
-        """Draw from ``rng``."""
+        """Draw candidates with ``rng``."""
         self._rng = rng
 
     def pick(
@@ -54,7 +58,7 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the least loaded of those drawn from the zone or from all."""
+        """Return the least loaded of the candidates drawn."""
         return self._least_loaded(self._zone_first(candidates, request.zone))
 
     def _zone_first(
@@ -76,12 +80,13 @@
 
 
 class PrefixPicker(LeastOfFewPicker):
-    """Keeps prompts of one prefix together while that costs no wait.
+    """Sends prompts with the same prefix to one replica while it has room.
 
-    Rendezvous hashing ranks the replicas for a prefix; the first whose
-    load is within a bound of the mean is taken, so that a hot prefix
-    spreads over as many replicas as it needs. What is cached where is
-    never asked: a wrong guess costs one prefill.
+    Rendezvous hashing ranks the replicas for a prefix. The first replica in
+    the ranking whose load is at most AFFINITY_REQUESTS requests above the
+    lowest load is selected, so that a frequent prefix spreads over as many
+    replicas as it needs. The picker does not query which prefixes a replica
+    has cached: a wrong guess costs one prefill.
     """
 
     def pick(
@@ -89,7 +94,7 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the best ranked replica that is not overloaded."""
+        """Return the highest ranked replica that is not overloaded."""
         if not request.prefix:
             return super().pick(candidates, request)
         loads = {each.key: load_of(each) for each in candidates}
@@ -102,7 +107,8 @@
         all_full = loads[least.key] >= 1
         for candidate in ranked:
             load = loads[candidate.key]
-            # With a free slot elsewhere, one without is a wait.
+            # A replica without a free slot would make the request wait
+            # although another replica has one.
             if load <= bound and (load < 1 or all_full):
                 return candidate
         return super().pick(candidates, request)
--- a/cactusridge/routing/retry_budget.py
+++ b/cactusridge/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of requests, so that they cannot storm."""
+"""Limits retries to a share of requests, to prevent retry storms."""
 
 import abc
 from typing import ClassVar
@@ -8,37 +8,37 @@
 
 
 class RetryPolicy(abc.ABC):
-    """Says whether a failed dispatch may be repeated."""
+    """Decides whether a failed dispatch may be retried."""
 
     max_attempts: ClassVar[int] = 3
 
     @abc.abstractmethod
     def request(self) -> None:
-        """Note a new request."""
+        """Record a new request."""
 
     @abc.abstractmethod
     def allow(self, attempts: int) -> bool:
-        """Tell whether a request tried ``attempts`` times may go again."""
+        """Return whether a request may be retried after some ``attempts``."""
 
 
 class RetryThrice(RetryPolicy):
-    """Naive: three more tries for each request, at once."""
+    """Naive policy: three retries for each request, without delay."""
 
     max_attempts = 4
 
     def request(self) -> None:
-        """Pass over the request."""
+        """Ignore the request."""
 
     def allow(self, attempts: int) -> bool:
-        """Allow up to the count, whatever the others do."""
+        """Return whether fewer than ``max_attempts`` attempts were made."""
         return attempts < self.max_attempts
 
 
 class RetryBudget(RetryPolicy):
-    """A token bucket: each request pays in a share, a retry takes one.
+    """A token bucket: a request adds ``share`` tokens, a retry takes one.
 
-    Every entry keeps its own bucket, so the share holds over all
-    entries together without a word between them.
+    Every entry has its own bucket. The share holds over all entries together
+    without any communication between them.
     """
 
     def __init__(self, share: float) -> None:
@@ -47,11 +47,14 @@
         self._tokens = float(START_TOKENS)
 
     def request(self) -> None:
-        """Pay in for a new request."""
+        """Add the tokens of a new request."""
         self._tokens = min(MAX_TOKENS, self._tokens + self._share)
 
     def allow(self, attempts: int) -> bool:
-        """Take one token, if there is one and attempts are left."""
+        """Take one token if there is one and attempts are left.
+
+        Returns whether a token was taken.
+        """
         if attempts >= self.max_attempts or self._tokens < 1:
             return False
         self._tokens -= 1
--- a/cactusridge/routing/subset.py
+++ b/cactusridge/routing/subset.py
@@ -1,4 +1,4 @@
-"""Which replicas an entry knows, when there are many of both."""
+"""Selects the replicas that an entry uses in a large fleet."""
 
 from collections.abc import Sequence
 
@@ -13,10 +13,10 @@
 ) -> list[str]:
     """Return about ``size`` of ``replicas`` for ``entry``.
 
-    Replicas stand on a ring in hashed order; each entry takes a run of
-    it that starts at its own rank among ``entries``. Every replica is
-    so known to nearly the same number of entries, and a host that comes
-    or goes moves the runs' ends only.
+    The replicas form a ring in the order of their hashes. Each entry takes a
+    contiguous run of the ring, whose start depends on its rank among
+    ``entries``. Every replica is therefore used by nearly the same number of
+    entries, and a host that joins or leaves changes only the ends of the runs.
     """
     if len(replicas) <= size:
         return sorted(replicas)
