--- a/cactusridge/fleet/fleet_view.py
+++ b/cactusridge/fleet/fleet_view.py
@@ -6,13 +6,13 @@
 
 from cactusridge import events, logs
 from cactusridge.fleet.life_listener import LifeListener
-from cactusridge.fleet.life_order import LifeOrder
-from cactusridge.fleet.life_rule import lives_told, names_replica
+from cactusridge.fleet.life_order import IncarnationOrder
+from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
 from cactusridge.fleet.replica import (
     NOT_TOLD,
     Replica,
     ReplicaState,
-    life_key,
+    incarnation_key,
 )
 
 
@@ -30,9 +30,9 @@
         self._replicas: dict[str, Replica] = {}
         # The ready replicas by service; cleared whenever the replicas change.
         self._ready: dict[str, tuple[Replica, ...]] = {}
-        self._order = LifeOrder()
-        self._telling = 0
-        self._left_out = 0
+        self._order = IncarnationOrder()
+        self._with_start_time = 0
+        self._excluded = 0
         self._listeners: list[LifeListener] = []
 
     def on_life_end(self, listener: LifeListener) -> None:
@@ -46,14 +46,14 @@
         and LifeNotTold if the entry has no start time although an earlier
         entry of the same id had one.
         """
-        ended = self._order.take(replica.id, replica.born)
+        ended = self._order.record(replica.id, replica.born)
         if ended is not None:
-            self._end(replica, ended)
+            self._end_incarnation(replica, ended)
         if self._replicas.get(replica.life) == replica:
             return
-        self._telling -= self._tells(replica.life)
+        self._with_start_time -= self._has_start_time(replica.life)
         self._replicas[replica.life] = replica
-        self._telling += self._tells(replica.life)
+        self._with_start_time += self._has_start_time(replica.life)
         event = events.REPLICA_FOUND
         if replica.state == ReplicaState.draining:
             event = events.REPLICA_LEAVING
@@ -63,16 +63,18 @@
             service=replica.service,
             born=replica.born,
         )
-        self._settle()
+        self._notify_changed()
 
     def drop(self, replica_id: str) -> None:
         """Remove a replica; its newest start time stays remembered."""
         newest = self._order.newest(replica_id)
-        if newest is None or not self._remove(life_key(replica_id, newest)):
+        if newest is None or not self._remove(
+            incarnation_key(replica_id, newest)
+        ):
             return
-        self._order.gone(replica_id)
+        self._order.record_unlisted(replica_id)
         logs.emit(events.REPLICA_GONE, replica=replica_id)
-        self._settle()
+        self._notify_changed()
 
     def get(self, life: str) -> Replica | None:
         """Return the replica with this incarnation key, or None."""
@@ -94,29 +96,29 @@
         """
         found = self._ready.get(service)
         if found is None:
-            told = self._lives_told()
+            most_have_start = self._most_have_start_time()
             found = tuple(
                 replica
                 for replica in self._replicas.values()
                 if replica.service == service
                 and replica.state == ReplicaState.ready
-                and names_replica(replica.born, NOT_TOLD, told)
+                and is_usable_entry(replica.born, NOT_TOLD, most_have_start)
             )
             self._ready[service] = found
         return found
 
     def is_named(self, replica: Replica) -> bool:
         """Return whether the entry of a replica identifies a usable replica."""
-        told = self._lives_told()
-        return names_replica(replica.born, NOT_TOLD, told)
+        most_have_start = self._most_have_start_time()
+        return is_usable_entry(replica.born, NOT_TOLD, most_have_start)
 
     def addresses(self) -> Iterable[tuple[str, int]]:
         """Return the addresses of all replicas."""
         return {replica.address for replica in self._replicas.values()}
 
-    def _end(self, replica: Replica, born: int) -> None:
+    def _end_incarnation(self, replica: Replica, born: int) -> None:
         """Remove the incarnation started at ``born``, before ``replica``."""
-        life = life_key(replica.id, born)
+        life = incarnation_key(replica.id, born)
         self._remove(life)
         logs.emit(
             events.REPLICA_REBORN,
@@ -129,27 +131,27 @@
 
     def _remove(self, life: str) -> bool:
         """Remove an incarnation; return whether it was known."""
-        self._telling -= self._tells(life)
+        self._with_start_time -= self._has_start_time(life)
         self._ready.clear()
         return self._replicas.pop(life, None) is not None
 
-    def _tells(self, life: str) -> bool:
+    def _has_start_time(self, life: str) -> bool:
         """Return whether the incarnation is known and has a start time."""
         replica = self._replicas.get(life)
         return replica is not None and replica.born != NOT_TOLD
 
-    def _lives_told(self) -> bool:
-        return lives_told(self._telling, len(self._replicas))
+    def _most_have_start_time(self) -> bool:
+        return most_have_start_time(self._with_start_time, len(self._replicas))
 
-    def _settle(self) -> None:
+    def _notify_changed(self) -> None:
         """Signal a change; log when replicas begin or cease to be excluded.
 
         Replicas without a start time are excluded while most others have one.
         """
-        untold = len(self._replicas) - self._telling
-        left_out = untold if self._lives_told() else 0
-        if bool(left_out) != bool(self._left_out):
-            logs.emit(events.LIVES_NOT_TOLD, left_out=left_out)
-        self._left_out = left_out
+        without_start_time = len(self._replicas) - self._with_start_time
+        excluded = without_start_time if self._most_have_start_time() else 0
+        if bool(excluded) != bool(self._excluded):
+            logs.emit(events.LIVES_NOT_TOLD, left_out=excluded)
+        self._excluded = excluded
         self._ready.clear()
         self.changed.set()
--- a/cactusridge/fleet/life_order.py
+++ b/cactusridge/fleet/life_order.py
@@ -3,14 +3,14 @@
 from collections import OrderedDict
 
 from cactusridge.errors import CactusridgeError
-from cactusridge.fleet.life_rule import names_replica
+from cactusridge.fleet.life_rule import is_usable_entry
 from cactusridge.fleet.replica import NOT_TOLD
 
 # Limits how many unlisted replicas have the start time of their newest
 # incarnation remembered. The largest deployments list some tens of replicas,
 # and a delayed read of the list is at most one replacement of all of them
 # behind.
-MAX_GONE = 4096
+MAX_UNLISTED = 4096
 
 
 class LifeOver(CactusridgeError):
@@ -27,7 +27,7 @@
     code = 'life_not_told'
 
 
-class LifeOrder:
+class IncarnationOrder:
     """Remembers the start time of the newest incarnation by replica id.
 
     Service discovery can deliver entries of an earlier incarnation late. An
@@ -37,14 +37,16 @@
 
     def __init__(self) -> None:
         """Create an order without any incarnation."""
-        self._listed: dict[str, int] = {}
-        self._gone: OrderedDict[str, int] = OrderedDict()
+        self._listed_starts: dict[str, int] = {}
+        self._unlisted_starts: OrderedDict[str, int] = OrderedDict()
 
     def newest(self, replica_id: str) -> int | None:
         """Return the newest start time of a replica, None for an unknown id."""
-        return self._listed.get(replica_id, self._gone.get(replica_id))
+        return self._listed_starts.get(
+            replica_id, self._unlisted_starts.get(replica_id)
+        )
 
-    def take(self, replica_id: str, born: int) -> int | None:
+    def record(self, replica_id: str, born: int) -> int | None:
         """Record a listed incarnation; return the start time it replaces.
 
         Returns None if the listed incarnation replaces no other. Raises
@@ -52,19 +54,19 @@
         is NOT_TOLD although an earlier entry of the id had a start time.
         """
         newest = self.newest(replica_id)
-        if not names_replica(born, newest or NOT_TOLD, told=False):
+        if not is_usable_entry(born, newest or NOT_TOLD, most_have_start=False):
             raise LifeNotTold(f'{replica_id} lacks its start time {newest}')
         if newest is not None and born < newest:
             raise LifeOver(f'{replica_id}: {born} is older than {newest}')
-        self._gone.pop(replica_id, None)
-        self._listed[replica_id] = born
+        self._unlisted_starts.pop(replica_id, None)
+        self._listed_starts[replica_id] = born
         return None if newest == born else newest
 
-    def gone(self, replica_id: str) -> None:
+    def record_unlisted(self, replica_id: str) -> None:
         """Record that service discovery no longer lists a replica."""
-        born = self._listed.pop(replica_id, None)
+        born = self._listed_starts.pop(replica_id, None)
         if born is None:
             return
-        self._gone[replica_id] = born
-        if len(self._gone) > MAX_GONE:
-            self._gone.popitem(last=False)
+        self._unlisted_starts[replica_id] = born
+        if len(self._unlisted_starts) > MAX_UNLISTED:
+            self._unlisted_starts.popitem(last=False)
--- a/cactusridge/fleet/life_rule.py
+++ b/cactusridge/fleet/life_rule.py
@@ -8,16 +8,16 @@
 from cactusridge.fleet.replica import NOT_TOLD
 
 
-def lives_told(telling: int, known: int) -> bool:
-    """Return whether most of the ``known`` replicas have a start time."""
-    return 2 * telling > known
+def most_have_start_time(with_start_time: int, total: int) -> bool:
+    """Return whether most of ``total`` replicas have a start time."""
+    return 2 * with_start_time > total
 
 
-def names_replica(born: int, newest: int, told: bool) -> bool:
+def is_usable_entry(born: int, newest: int, most_have_start: bool) -> bool:
     """Return whether an entry with start time ``born`` is usable.
 
     ``newest`` is the newest start time known for the id, or NOT_TOLD if none
-    of its entries had one. ``told`` is whether most replicas have a start
-    time.
+    of its entries had one. ``most_have_start`` is whether most replicas have
+    a start time.
     """
-    return born != NOT_TOLD or (newest == NOT_TOLD and not told)
+    return born != NOT_TOLD or (newest == NOT_TOLD and not most_have_start)
--- a/cactusridge/fleet/replica.py
+++ b/cactusridge/fleet/replica.py
@@ -17,7 +17,7 @@
     draining = 'draining'
 
 
-def life_key(replica_id: str, born: int) -> str:
+def incarnation_key(replica_id: str, born: int) -> str:
     """Return the key of one incarnation of a replica, unique to it.
 
     An id without a start time is its own key, unless it contains the separator
@@ -52,4 +52,4 @@
         state. In-flight requests, health records and connections of the
         earlier process therefore do not apply to it.
         """
-        return life_key(self.id, self.born)
+        return incarnation_key(self.id, self.born)
--- a/cactusridge/peers/audience.py
+++ b/cactusridge/peers/audience.py
@@ -13,7 +13,7 @@
 from cactusridge.peers.cell_rules import EntryPlace
 from cactusridge.peers.load import NO_LOAD
 from cactusridge.peers.loads import LoadTable
-from cactusridge.peers.offers import CellOffer, share_offered
+from cactusridge.peers.offers import CellOffer, slots_to_offer
 from cactusridge.peers.peer_socket import Target
 
 # Size of the cache of parsed entry addresses. Entries come and go for as long
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        me: Target,
+        own_address: Target,
         loads: LoadTable,
         listed: Callable[[], Iterable[Target]],
         sharing: BatchSharing,
@@ -44,28 +44,30 @@
 
         ``listed`` returns the peers in the membership list.
         """
-        self._me = me
+        self._own_address = own_address
         self._loads = loads
         self._listed = listed
         self._sharing = sharing
         self._cells = sharing.cells
-        self._divided: tuple[EntryPlace, ...] | None = None
-        self._targets: frozenset[Target] = frozenset()
+        self._cached_entries: tuple[EntryPlace, ...] | None = None
+        self._cell_targets: frozenset[Target] = frozenset()
         self._rng = random.Random()  # noqa: S311
 
-    def everybody(self) -> set[Target]:
+    def all_peers(self) -> set[Target]:
         """Return the peers that are listed or from which counts are current."""
-        return (self._heard() | set(self._listed())) - {self._me}
+        return (self._current_peers() | set(self._listed())) - {
+            self._own_address
+        }
 
-    def near(self) -> set[Target]:
+    def local_peers(self) -> set[Target]:
         """Return the peers in the local cell and those assigned to no cell."""
-        near = {_target(name) for name in self._cells.near()}
-        return (near | self._in_no_cell()) - {self._me}
+        local_peers = {_target(name) for name in self._cells.local_entries()}
+        return (local_peers | self._in_no_cell()) - {self._own_address}
 
     def groups(
         self,
         lives: Iterable[str],
-        anyway: Iterable[Target] = (),
+        always: Iterable[Target] = (),
     ) -> Iterator[Group]:
         """Yield groups of peers that receive the counts of the same ``lives``.
 
@@ -75,28 +77,29 @@
         peer is in one group. Peers in ``anyway`` are included even if no count
         goes to them.
         """
-        told: dict[Target, list[str]] = {target: [] for target in anyway}
+        by_target: dict[Target, list[str]] = {target: [] for target in always}
         in_no_cell = self._in_no_cell()
         for life in lives:
-            for target in self._told_of(life) | in_no_cell:
-                told.setdefault(target, []).append(life)
-        alike: dict[tuple[str, ...], set[Target]] = defaultdict(set)
-        for target, its_lives in told.items():
-            alike[tuple(its_lives)].add(target)
-        return itertools.starmap(Group, alike.items())
+            for target in self._recipients(life) | in_no_cell:
+                by_target.setdefault(target, []).append(life)
+        by_lives: dict[tuple[str, ...], set[Target]] = defaultdict(set)
+        for target, its_lives in by_target.items():
+            by_lives[tuple(its_lives)].add(target)
+        return itertools.starmap(Group, by_lives.items())
 
     def offers(self) -> Iterator[tuple[Target, CellOffer]]:
         """Yield the offer for each remote entry that this entry serves."""
-        near = tuple(self._cells.near_replicas())
-        entries = len(self._cells.far())
-        for name in self._cells.told_from_here(self._loads.heard_lately()):
+        local_replicas = tuple(self._cells.local_replicas())
+        entries = len(self._cells.remote_entries())
+        for name in self._cells.offer_recipients(self._loads.current_peers()):
             shares = {
-                each.life: self._share(each, name, entries) for each in near
+                each.life: self._share(each, name, entries)
+                for each in local_replicas
             }
             slots = {life: share for life, share in shares.items() if share}
             shared = [
                 each.life
-                for each in near
+                for each in local_replicas
                 if name in self._sharing.of(each.life)
             ]
             yield _target(name), CellOffer(self._cells.own, slots, shared)
@@ -104,18 +107,18 @@
     def _share(self, replica: Replica, name: str, entries: int) -> int:
         """Return how many online requests a remote entry may have there."""
         online = self._loads.at(replica.life).online
-        more = share_offered(replica.slots, online, entries, self._rng)
+        more = slots_to_offer(replica.slots, online, entries, self._rng)
         if not more:
             return 0
         there = self._loads.peers_at(replica.life).get(name, NO_LOAD)
         return there.online + more
 
-    def _told_of(self, life: str) -> set[Target]:
-        names = self._cells.entries_at(life) | self._sharing.of(life)
+    def _recipients(self, life: str) -> set[Target]:
+        names = self._cells.entries_of_replica(life) | self._sharing.of(life)
         # A peer with in-flight requests at the replica must know when to
         # preempt them, even if the cells have changed since it sent them.
         names |= self._loads.peers_at(life).keys()
-        return {_target(name) for name in names} - {self._me}
+        return {_target(name) for name in names} - {self._own_address}
 
     def _in_no_cell(self) -> set[Target]:
         """Return the known peers that are assigned to no cell.
@@ -125,8 +128,8 @@
         replicas that are already full. An entry that has just joined the
         membership list is assigned to a cell only after a short delay.
         """
-        known = self._heard() | set(self._listed())
-        return known - self._in_cells() - {self._me}
+        known = self._current_peers() | set(self._listed())
+        return known - self._in_cells() - {self._own_address}
 
     def _in_cells(self) -> frozenset[Target]:
         """Return the addresses of all entries in cells.
@@ -134,10 +137,12 @@
         The result is cached until the entries change.
         """
         entries = self._cells.entries()
-        if entries is not self._divided:
-            self._divided = entries
-            self._targets = frozenset(_target(each.name) for each in entries)
-        return self._targets
-
-    def _heard(self) -> set[Target]:
-        return {_target(peer) for peer in self._loads.heard_lately()}
+        if entries is not self._cached_entries:
+            self._cached_entries = entries
+            self._cell_targets = frozenset(
+                _target(each.name) for each in entries
+            )
+        return self._cell_targets
+
+    def _current_peers(self) -> set[Target]:
+        return {_target(peer) for peer in self._loads.current_peers()}
--- a/cactusridge/peers/cell_rules.py
+++ b/cactusridge/peers/cell_rules.py
@@ -13,7 +13,7 @@
 # fleet of at most this size is one cell, whatever its availability zones.
 MAX_ENTRIES = 20
 # Name of the only cell of a small fleet.
-WHOLE = ''
+SINGLE_CELL = ''
 
 
 class EntryPlace(NamedTuple):
@@ -57,7 +57,7 @@
     def of_entries(self, entries: Sequence[EntryPlace]) -> dict[str, str]:
         """Return the cell of each entry."""
         if len(entries) <= MAX_ENTRIES:
-            return {each.name: WHOLE for each in entries}
+            return {each.name: SINGLE_CELL for each in entries}
         zones = defaultdict(list)
         for each in entries:
             zones[each.zone].append(each.name)
@@ -80,17 +80,15 @@
         Replicas in an availability zone without entries are distributed over
         all cells.
         """
-        everywhere = sorted(
-            {cell for cells in zones.values() for cell in cells}
-        )
-        if not everywhere:
+        all_cells = sorted({cell for cells in zones.values() for cell in cells})
+        if not all_cells:
             return {}
         by_zone = defaultdict(list)
         for replica in replicas:
             by_zone[replica.zone].append(replica.life)
         found: dict[str, str] = {}
         for zone, lives in by_zone.items():
-            found.update(_dealt(lives, zones.get(zone, everywhere)))
+            found.update(_distribute_evenly(lives, zones.get(zone, all_cells)))
         return found
 
 
@@ -99,7 +97,7 @@
 
     def of_entries(self, entries: Sequence[EntryPlace]) -> dict[str, str]:
         """Return the one cell for each entry."""
-        return {each.name: WHOLE for each in entries}
+        return {each.name: SINGLE_CELL for each in entries}
 
     def of_replicas(
         self,
@@ -107,10 +105,12 @@
         zones: Mapping[str, Sequence[str]],
     ) -> dict[str, str]:
         """Return the one cell for each replica."""
-        return {replica.life: WHOLE for replica in replicas}
+        return {replica.life: SINGLE_CELL for replica in replicas}
 
 
-def _dealt(names: Iterable[str], cells: Sequence[str]) -> dict[str, str]:
+def _distribute_evenly(
+    names: Iterable[str], cells: Sequence[str]
+) -> dict[str, str]:
     """Assign the names to the cells in equal numbers."""
     order = sorted(names, key=hash64)
     return {
--- a/cactusridge/peers/cells.py
+++ b/cactusridge/peers/cells.py
@@ -17,7 +17,7 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica
 from cactusridge.hashing import hash64, rendezvous
-from cactusridge.peers.cell_rules import WHOLE, CellRule, EntryPlace
+from cactusridge.peers.cell_rules import SINGLE_CELL, CellRule, EntryPlace
 
 # Replicas at which an entry can run batch, at least this many on average, so
 # that the items of a job spread. If cells have fewer, batch runs across cells.
@@ -68,7 +68,7 @@
     batch_entries: dict[str, tuple[str, ...]]
 
 
-NOBODY = Division((), {}, {}, {})
+NO_ENTRIES = Division((), {}, {}, {})
 
 
 class Cells:
@@ -91,7 +91,7 @@
         self._list_entries = entries
         self._rule = rule
         self._clock = clock
-        self._division = NOBODY
+        self._division = NO_ENTRIES
         self._listed_at: float | None = None
         self._replicas: dict[str, ReplicaCells] = {}
 
@@ -103,28 +103,28 @@
     @property
     def own(self) -> str:
         """The local cell, that of this entry."""
-        return self._current().cells.get(self.name, WHOLE)
+        return self._current().cells.get(self.name, SINGLE_CELL)
 
     def entries(self) -> tuple[EntryPlace, ...]:
         """Return all entries; the same tuple object until they change."""
         return self._current().entries
 
-    def near(self) -> frozenset[str]:
+    def local_entries(self) -> frozenset[str]:
         """Return the names of the entries in the local cell, with this one."""
         return self._names_in(self.own)
 
-    def far(self) -> tuple[str, ...]:
+    def remote_entries(self) -> tuple[str, ...]:
         """Return the names of the entries in all other cells."""
         own = self.own
         cells = self._current().cells
         return tuple(name for name, cell in cells.items() if cell != own)
 
-    def is_far(self, name: str) -> bool:
+    def is_remote(self, name: str) -> bool:
         """Return whether an entry is known to be in another cell."""
         own = self.own
         return self._current().cells.get(name, own) != own
 
-    def entries_at(self, life: str) -> frozenset[str]:
+    def entries_of_replica(self, life: str) -> frozenset[str]:
         """Return the names of the entries in a replica's cell.
 
         These entries are notified at once of each request at the replica. A
@@ -152,7 +152,7 @@
             if known.ready is ready and known.division is division:
                 return known
         cells = self._rule.of_replicas(ready, division.zones)
-        own = division.cells.get(self.name, WHOLE)
+        own = division.cells.get(self.name, SINGLE_CELL)
         found = ReplicaCells(
             ready,
             division,
@@ -163,20 +163,20 @@
         self._replicas[service] = found
         return found
 
-    def near_replicas(self) -> Iterator[Replica]:
+    def local_replicas(self) -> Iterator[Replica]:
         """Return the replicas of the local cell that accept new work."""
         for service in self._fleet.services():
             found = self.of_service(service)
             yield from (each for each in found.ready if each.life in found.near)
 
-    def told_from_here(self, heard: Iterable[str]) -> Iterator[str]:
+    def offer_recipients(self, heard: Iterable[str]) -> Iterator[str]:
         """Yield the remote entries that this entry sends the cell's offers to.
 
         Rendezvous hashing assigns each remote entry to one live entry of the
         local cell. ``heard`` are the peers whose counts are current.
         """
-        living = (self.near() & set(heard)) | {self.name}
-        for name in self.far():
+        living = (self.local_entries() & set(heard)) | {self.name}
+        for name in self.remote_entries():
             if rendezvous(living, hash64(name))[0] == self.name:
                 yield name
 
@@ -201,7 +201,7 @@
 
     def _shape(self) -> Shape:
         cells = self._division.names
-        cell = self._division.cells.get(self.name, WHOLE)
+        cell = self._division.cells.get(self.name, SINGLE_CELL)
         return Shape(len(cells), cell, len(cells.get(cell, ())))
 
 
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -23,28 +23,28 @@
 from cactusridge.peers.cells import Cells
 from cactusridge.peers.load import NO_LOAD, Load, WorkKind
 from cactusridge.peers.loads import LoadTable
-from cactusridge.peers.offers import offer_in
+from cactusridge.peers.offers import decode_offer
 from cactusridge.peers.peer_socket import PeerSocket, Target
 from cactusridge.peers.word import Word
 from cactusridge.work_meter import Part, spawn
 
 # Interval at which all counts are repeated, in seconds.
-REPEAT_S = 0.5
+REPEAT_INTERVAL_S = 0.5
 # Shortest interval of sending changed counts, in seconds: a twentieth of the
 # time that an online request holds a slot.
-MIN_PERIOD_S = 0.04
+MIN_SEND_INTERVAL_S = 0.04
 # Part of that interval for each peer in the cell, in seconds. It limits the
 # datagrams with changes that an entry reads to some 170 a second.
-PERIOD_PER_PEER_S = 0.006
+SEND_INTERVAL_PER_PEER_S = 0.006
 ALL = 'all'
 CHANGED = 'some'
 OFFER = 'offer'
-WORD = 'word'
-NEWS = 'news'
+STATUS = 'word'
+ANNOUNCED = 'news'
 # Number of repeats of an announcement, at two a second. They last longer than
 # an entry can be suspended or partitioned and still act on what it knew.
-NEWS_REPEATS = 20
-NOTHING: Mapping[str, Any] = MappingProxyType({})
+ANNOUNCEMENT_REPEATS = 20
+EMPTY: Mapping[str, Any] = MappingProxyType({})
 
 
 class PeerExchange:
@@ -56,26 +56,26 @@
         loads: LoadTable,
         audience: Audience,
         cells: Cells,
-        word: Callable[[], Word],
+        get_status: Callable[[], Word],
     ) -> None:
         """Create an exchange over ``sock`` with the peers in ``audience``.
 
-        ``word`` returns the status that this entry sends about itself.
+        ``get_status`` returns the status that this entry sends about itself.
         """
         self._sock = sock
         self._loads = loads
         self._audience = audience
         self._cells = cells
-        self._word = word
+        self._get_status = get_status
         self._on_loads: Callable[[], None] | None = None
-        self._news: dict[str, tuple[int, int]] = {}
+        self._announcements: dict[str, tuple[int, int]] = {}
         self._on_news: Callable[[str, int], None] | None = None
         self._on_word: Callable[[Target, Word], None] | None = None
-        self._on_said: dict[str, Callable[[Target, Any], None]] = {}
-        self._silent_s = float(0)
-        self._told: dict[str, Load] = {}
+        self._message_listeners: dict[str, Callable[[Target, Any], None]] = {}
+        self._since_repeat_s = float(0)
+        self._last_sent: dict[str, Load] = {}
         self._counts: dict[Target, dict[str, Load]] = {}
-        loads.on_rise(self._risen)
+        loads.on_increase(self._send_increase)
 
     def on_loads(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after a peer's counts have been received."""
@@ -90,23 +90,20 @@
         self._on_news = listener
 
     def tell(self, subject: str, version: int) -> None:
-        """Announce a newer version of ``subject`` to all peers.
+        """Announce a version of ``subject`` to all peers, repeatedly."""
+        self._announcements[subject] = (version, ANNOUNCEMENT_REPEATS)
+        all_peers = self._audience.all_peers()
+        self._sock.send(all_peers, {ANNOUNCED: {subject: version}})
 
-        The announcement is repeated NEWS_REPEATS times.
-        """
-        self._news[subject] = (version, NEWS_REPEATS)
-        everybody = self._audience.everybody()
-        self._sock.send(everybody, {NEWS: {subject: version}})
-
-    def say(self, topic: str, about: Any) -> None:
+    def broadcast(self, topic: str, payload: Any) -> None:
         """Send a message on ``topic`` to all peers, once."""
-        self._sock.send(self._audience.everybody(), {topic: about})
+        self._sock.send(self._audience.all_peers(), {topic: payload})
 
-    def say_to(self, target: Target, topic: str, about: Any) -> None:
+    def send_to(self, target: Target, topic: str, payload: Any) -> None:
         """Send a message on ``topic`` to one peer, once."""
-        self._sock.send([target], {topic: about})
+        self._sock.send([target], {topic: payload})
 
-    def on_said(
+    def on_message(
         self,
         topic: str,
         listener: Callable[[Target, Any], None],
@@ -115,115 +112,122 @@
 
         ``listener`` raises ValueError or TypeError for an unreadable message.
         """
-        self._on_said[topic] = listener
+        self._message_listeners[topic] = listener
 
     def start(self) -> None:
         """Bind the socket and start the greenlets that send and receive."""
         self._sock.bind()
-        spawn(Part.peers_heard, keep_doing, self._listen)
-        spawn(Part.peers_told, keep_doing, self._take_turn)
+        spawn(Part.peers_heard, keep_doing, self._receive)
+        spawn(Part.peers_told, keep_doing, self._send_periodically)
 
-    def _take_turn(self) -> None:
+    def _send_periodically(self) -> None:
         """Wait one interval, then send the changed counts or all counts."""
-        peers = len(self._audience.near())
-        period_s = max(MIN_PERIOD_S, peers * PERIOD_PER_PEER_S)
-        gevent.sleep(period_s)
-        self._silent_s += period_s
-        if self._silent_s >= REPEAT_S:
-            self._silent_s = 0
-            self._repeat()
+        peers = len(self._audience.local_peers())
+        interval_s = max(MIN_SEND_INTERVAL_S, peers * SEND_INTERVAL_PER_PEER_S)
+        gevent.sleep(interval_s)
+        self._since_repeat_s += interval_s
+        if self._since_repeat_s >= REPEAT_INTERVAL_S:
+            self._since_repeat_s = 0
+            self._send_all()
         else:
-            self._tell_changes()
+            self._send_changes()
 
-    def _tell_changes(self) -> None:
+    def _send_changes(self) -> None:
         now = self._loads.all_own()
         changed = {
             key: now.get(key, NO_LOAD)
-            for key in set(now) | set(self._told)
-            if now.get(key) != self._told.get(key)
+            for key in set(now) | set(self._last_sent)
+            if now.get(key) != self._last_sent.get(key)
         }
-        self._told = now
-        self._tell(CHANGED, changed)
+        self._last_sent = now
+        self._send_counts(CHANGED, changed)
 
-    def _risen(self, life: str, kind: WorkKind) -> None:
+    def _send_increase(self, life: str, kind: WorkKind) -> None:
         """Send the count of a replica at once after it has increased."""
         own = self._loads.own(life)
-        self._told[life] = own
-        self._tell(CHANGED, {life: own})
+        self._last_sent[life] = own
+        self._send_counts(CHANGED, {life: own})
 
-    def _repeat(self) -> None:
+    def _send_all(self) -> None:
         now = self._loads.all_own()
         # Some peers receive only the counts of these replicas; without a zero
         # they would keep the old counts.
-        over = dict.fromkeys(self._told.keys() - now.keys(), NO_LOAD)
-        self._told = now
-        word = list(self._word())
-        news = self._repeated_news()
-        near = self._audience.near()
-        self._tell(ALL, {**over, **now}, near, {WORD: word, NEWS: news})
-        if news:
-            self._sock.send(self._audience.everybody() - near, {NEWS: news})
+        ended = dict.fromkeys(self._last_sent.keys() - now.keys(), NO_LOAD)
+        self._last_sent = now
+        status = list(self._get_status())
+        repeats = self._take_repeats()
+        local_peers = self._audience.local_peers()
+        self._send_counts(
+            ALL,
+            {**ended, **now},
+            local_peers,
+            {STATUS: status, ANNOUNCED: repeats},
+        )
+        if repeats:
+            self._sock.send(
+                self._audience.all_peers() - local_peers, {ANNOUNCED: repeats}
+            )
         for target, offer in self._audience.offers():
-            self._sock.send([target], {OFFER: list(offer), WORD: word})
+            self._sock.send([target], {OFFER: list(offer), STATUS: status})
 
-    def _repeated_news(self) -> dict[str, int]:
+    def _take_repeats(self) -> dict[str, int]:
         """Return the announcements due for a repeat, and count the repeats."""
-        news = self._news
-        self._news = {
+        repeats = self._announcements
+        self._announcements = {
             subject: (version, left - 1)
-            for subject, (version, left) in news.items()
+            for subject, (version, left) in repeats.items()
             if left > 1
         }
-        return {subject: version for subject, (version, _) in news.items()}
+        return {subject: version for subject, (version, _) in repeats.items()}
 
-    def _tell(
+    def _send_counts(
         self,
         kind: str,
         loads: Mapping[str, Load],
-        near: Iterable[Target] = (),
-        more: Mapping[str, Any] = NOTHING,
+        local_peers: Iterable[Target] = (),
+        more: Mapping[str, Any] = EMPTY,
     ) -> None:
         """Send each count to its audience with ``more``.
 
-        Peers in ``near`` receive ``more`` even if no count goes to them.
+        Peers in ``local_peers`` receive ``more`` even if no count goes to them.
         """
-        for group in self._audience.groups(loads, near):
+        for group in self._audience.groups(loads, local_peers):
             counts = {life: loads[life] for life in group.lives}
-            self._sock.send(group.targets, {kind: _plain(counts), **more})
+            self._sock.send(group.targets, {kind: _encode(counts), **more})
 
-    def _listen(self) -> None:
+    def _receive(self) -> None:
         try:
-            self._take(*self._sock.receive())
+            self._handle_datagram(*self._sock.receive())
         except OSError as exc:
             logs.emit(events.PEER_UNREADABLE, error=repr(exc))
         except (ValueError, TypeError, AttributeError) as unreadable:
             logs.emit(events.PEER_UNREADABLE, error=repr(unreadable))
 
-    def _take(self, raw: bytes, sender: Target) -> None:
-        said = orjson.loads(raw)
-        for subject, version in said.get(NEWS, {}).items():
+    def _handle_datagram(self, raw: bytes, sender: Target) -> None:
+        message = orjson.loads(raw)
+        for subject, version in message.get(ANNOUNCED, {}).items():
             if self._on_news is not None:
                 self._on_news(subject, version)
-        for topic in said.keys() & self._on_said.keys():
-            self._on_said[topic](sender, said[topic])
-        offer = said.get(OFFER)
+        for topic in message.keys() & self._message_listeners.keys():
+            self._message_listeners[topic](sender, message[topic])
+        offer = message.get(OFFER)
         if offer is not None:
-            self._loads.heard_offer(offer_in(offer))
-        if ALL in said or CHANGED in said:
-            self._take_counts(said, sender)
-        if WORD in said and self._on_word is not None:
-            self._on_word(sender, Word(*said[WORD]))
+            self._loads.set_offer(decode_offer(offer))
+        if ALL in message or CHANGED in message:
+            self._apply_counts(message, sender)
+        if STATUS in message and self._on_word is not None:
+            self._on_word(sender, Word(*message[STATUS]))
 
-    def _take_counts(self, said: dict[str, Any], sender: Target) -> None:
+    def _apply_counts(self, message: dict[str, Any], sender: Target) -> None:
         """Apply the counts in a peer's message."""
-        counts = _counts(said.get(ALL) or said.get(CHANGED) or {})
-        if ALL not in said:
+        counts = _decode(message.get(ALL) or message.get(CHANGED) or {})
+        if ALL not in message:
             counts = {**self._counts.get(sender, {}), **counts}
         counts = {key: load for key, load in counts.items() if load != NO_LOAD}
         name = f'{sender[0]}:{sender[1]}'
-        if counts or not self._cells.is_far(name):
+        if counts or not self._cells.is_remote(name):
             self._counts[sender] = counts
-            self._loads.heard(name, counts)
+            self._loads.set_peer_loads(name, counts)
         else:
             # A remote peer without requests here sends no repeats, so its
             # counts need not be kept.
@@ -233,11 +237,11 @@
             self._on_loads()
 
 
-def _plain(loads: Mapping[str, Load]) -> dict[str, list[int]]:
+def _encode(loads: Mapping[str, Load]) -> dict[str, list[int]]:
     return {life: list(load) for life, load in loads.items()}
 
 
-def _counts(raw: dict[str, list[int]]) -> dict[str, Load]:
+def _decode(raw: dict[str, list[int]]) -> dict[str, Load]:
     return {key: Load(*pair) for key, pair in raw.items()}
 
 
--- a/cactusridge/peers/key_questions.py
+++ b/cactusridge/peers/key_questions.py
@@ -13,13 +13,13 @@
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import Target
 
-ASKED = 'keys_asked'
-TOLD = 'keys_told'
+REQUEST_TOPIC = 'keys_asked'
+RESPONSE_TOPIC = 'keys_told'
 # Timeout of a request in seconds; the round trip to any availability zone
 # takes less than 10 ms.
-ANSWER_S = 0.2
+RESPONSE_TIMEOUT_S = 0.2
 # Peers that receive a request at the same time; one response suffices.
-ASKED_PEERS = 3
+REQUESTED_PEERS = 3
 
 
 class KeyQuestions:
@@ -42,9 +42,9 @@
         self._clock = clock
         self._rng = random.Random()  # noqa: S311
         self._numbers = itertools.count()
-        self._open: dict[int, AsyncResult] = {}
-        peers.on_said(ASKED, self._hear_question)
-        peers.on_said(TOLD, self._hear_answer)
+        self._pending: dict[int, AsyncResult] = {}
+        peers.on_message(REQUEST_TOPIC, self._handle_request)
+        peers.on_message(RESPONSE_TOPIC, self._handle_response)
 
     def ask(self) -> KeysConfirmed | None:
         """Return the first response, or None if none arrives in time.
@@ -53,31 +53,33 @@
         sent, so that a response that is delayed or read late does not make the
         confirmation look more recent than it is.
         """
-        heard = sorted(self._loads.heard_lately())
+        names = sorted(self._loads.current_peers())
         number = next(self._numbers)
-        answer: AsyncResult = AsyncResult()
-        self._open[number] = answer
+        response: AsyncResult = AsyncResult()
+        self._pending[number] = response
         sent_at = self._clock.monotonic()
-        for name in self._rng.sample(heard, min(ASKED_PEERS, len(heard))):
-            self._peers.say_to(parse_address(name), ASKED, number)
+        for name in self._rng.sample(names, min(REQUESTED_PEERS, len(names))):
+            self._peers.send_to(parse_address(name), REQUEST_TOPIC, number)
         try:
-            told = answer.wait(timeout=ANSWER_S)
+            received = response.wait(timeout=RESPONSE_TIMEOUT_S)
         finally:
-            self._open.pop(number)
-        if told is None:
+            self._pending.pop(number)
+        if received is None:
             return None
-        version, age_s = told
+        version, age_s = received
         return KeysConfirmed(version, sent_at - age_s)
 
-    def _hear_question(self, peer: Target, raw: Any) -> None:
+    def _handle_request(self, peer: Target, raw: Any) -> None:
         confirmed = self._source.confirmed()
         if confirmed is not None:
             age_s = self._clock.monotonic() - confirmed.at
-            self._peers.say_to(peer, TOLD, [raw, confirmed.version, age_s])
+            self._peers.send_to(
+                peer, RESPONSE_TOPIC, [raw, confirmed.version, age_s]
+            )
 
-    def _hear_answer(self, peer: Target, raw: Any) -> None:
+    def _handle_response(self, peer: Target, raw: Any) -> None:
         """Apply a peer's response; raises ValueError or TypeError."""
         number, version, age_s = raw
-        answer = self._open.get(number)
-        if answer is not None:
-            answer.set((int(version), max(0, float(age_s))))
+        response = self._pending.get(number)
+        if response is not None:
+            response.set((int(version), max(0, float(age_s))))
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -19,13 +19,13 @@
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
 
-ASKED = 'limit_asked'
-TOLD = 'limit_told'
-GIVEN_BACK = 'limit_back'
-LEFT = 'limit_left'
+REQUEST_TOPIC = 'limit_asked'
+RESPONSE_TOPIC = 'limit_told'
+RETURNED_TOPIC = 'limit_back'
+REMAINING_TOPIC = 'limit_left'
 # Timeout of a request in seconds. The round trip to any availability zone
 # takes less than 10 ms, but a busy entry on a small host responds later.
-ANSWER_S = 0.08
+RESPONSE_TIMEOUT_S = 0.08
 
 
 class LimitQuestions(Asker):
@@ -42,12 +42,12 @@
         self._homes = homes
         self._home = home
         self._numbers = itertools.count()
-        self._open: dict[int, AsyncResult] = {}
-        peers.on_said(ASKED, self._hear_question)
-        peers.on_said(TOLD, self._hear_answer)
-        peers.on_said(GIVEN_BACK, self._hear_back)
-        peers.on_said(LEFT, self._hear_left)
-        home.on_counted(self._tell_left)
+        self._pending: dict[int, AsyncResult] = {}
+        peers.on_message(REQUEST_TOPIC, self._handle_request)
+        peers.on_message(RESPONSE_TOPIC, self._handle_response)
+        peers.on_message(RETURNED_TOPIC, self._handle_return)
+        peers.on_message(REMAINING_TOPIC, self._handle_remaining)
+        home.on_counted(self._send_remaining)
 
     def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
         """Send one request to an entry and wait for its response.
@@ -56,19 +56,21 @@
         """
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
-        self._open[number] = answer
+        self._pending[number] = answer
         name, limit, *more = asked
-        about = [number, name, list(limit), *more]
-        self._peers.say_to(parse_address(entry), ASKED, about)
+        payload = [number, name, list(limit), *more]
+        self._peers.send_to(parse_address(entry), REQUEST_TOPIC, payload)
         try:
-            return answer.wait(timeout=ANSWER_S)
+            return answer.wait(timeout=RESPONSE_TIMEOUT_S)
         finally:
-            self._open.pop(number)
+            self._pending.pop(number)
 
     def has_ended(self, entry: str) -> bool:
         """Return whether an entry's host refuses connections at its address."""
         try:
-            sock = socket.create_connection(parse_address(entry), ANSWER_S)
+            sock = socket.create_connection(
+                parse_address(entry), RESPONSE_TIMEOUT_S
+            )
         except ConnectionRefusedError:
             return True
         except OSError:
@@ -78,39 +80,39 @@
 
     def give_back(self, entry: str, name: str) -> None:
         """Notify an entry that a request it counted has not run."""
-        self._peers.say_to(parse_address(entry), GIVEN_BACK, name)
+        self._peers.send_to(parse_address(entry), RETURNED_TOPIC, name)
 
-    def _hear_question(self, peer: Target, raw: Any) -> None:
+    def _handle_request(self, peer: Target, raw: Any) -> None:
         """Respond to a peer's request; raises ValueError or TypeError."""
         number, *asked = raw
-        told = self._home.answer(_ask_in(*asked))
-        self._peers.say_to(peer, TOLD, [number, *told])
+        told = self._home.answer(_decode_request(*asked))
+        self._peers.send_to(peer, RESPONSE_TOPIC, [number, *told])
 
-    def _hear_answer(self, peer: Target, raw: Any) -> None:
+    def _handle_response(self, peer: Target, raw: Any) -> None:
         number, counted, wait_s = raw
-        answer = self._open.get(number)
+        answer = self._pending.get(number)
         if answer is not None:
             answer.set(LimitTold(bool(counted), float(wait_s)))
 
-    def _tell_left(self, copy: LimitCopy) -> None:
+    def _send_remaining(self, copy: LimitCopy) -> None:
         """Send the remaining tokens of an organisation to its backup owners."""
         name, limit, *more = copy
         for entry in self._homes.ranked(name)[1:]:
-            about = [name, list(limit), *more]
-            self._peers.say_to(parse_address(entry), LEFT, about)
+            payload = [name, list(limit), *more]
+            self._peers.send_to(parse_address(entry), REMAINING_TOPIC, payload)
 
-    def _hear_left(self, peer: Target, raw: Any) -> None:
+    def _handle_remaining(self, peer: Target, raw: Any) -> None:
         """Apply an owner's remaining tokens; raises ValueError or TypeError."""
         *asked, tokens = raw
-        found = _ask_in(*asked, stand_in=False, alone=False)
+        found = _decode_request(*asked, stand_in=False, alone=False)
         copy = LimitCopy(found.name, found.limit, found.version, float(tokens))
         self._home.copied(copy)
 
-    def _hear_back(self, peer: Target, raw: Any) -> None:
+    def _handle_return(self, peer: Target, raw: Any) -> None:
         self._home.give_back(str(raw))
 
 
-def _ask_in(
+def _decode_request(
     name: Any,
     limit: Any,
     version: Any,
--- a/cactusridge/peers/loads.py
+++ b/cactusridge/peers/loads.py
@@ -24,30 +24,30 @@
         self._peers = PeerCounts(clock)
         self._offers = Offers(clock)
         self._listeners: list[Callable[[], None]] = []
-        self._on_rise: Callable[[str, WorkKind], None] | None = None
+        self._on_increase: Callable[[str, WorkKind], None] | None = None
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after every change of this entry's counts."""
         self._listeners.append(listener)
 
-    def on_rise(self, listener: Callable[[str, WorkKind], None]) -> None:
+    def on_increase(self, listener: Callable[[str, WorkKind], None]) -> None:
         """Call ``listener`` after each increase of this entry's counts.
 
         Its arguments are the incarnation key and the kind of the added work.
         """
-        self._on_rise = listener
+        self._on_increase = listener
 
     @contextlib.contextmanager
     def running(self, life: str, kind: WorkKind) -> Iterator[None]:
         """Count one request of this entry while it is at a replica."""
         self._own[life] = self.own(life).plus(ONE[kind])
-        self._tell()
-        if self._on_rise is not None:
-            self._on_rise(life, kind)
+        self._notify()
+        if self._on_increase is not None:
+            self._on_increase(life, kind)
         try:
             yield
         finally:
-            self._end(life, kind)
+            self._end_request(life, kind)
 
     def own(self, life: str) -> Load:
         """Return this entry's load at a replica."""
@@ -57,13 +57,13 @@
         """Return this entry's load by incarnation key."""
         return dict(self._own)
 
-    def heard(self, peer: str, loads: dict[str, Load]) -> None:
+    def set_peer_loads(self, peer: str, loads: dict[str, Load]) -> None:
         """Replace the counts of a peer by those just received."""
-        self._peers.heard(peer, loads)
+        self._peers.update(peer, loads)
 
-    def heard_offer(self, offer: CellOffer) -> None:
+    def set_offer(self, offer: CellOffer) -> None:
         """Store the offer just received from another cell."""
-        self._offers.heard(offer)
+        self._offers.put(offer)
 
     def shared(self) -> set[str]:
         """Return the remote replicas whose counts this entry receives."""
@@ -88,13 +88,13 @@
         """
         self._peers.forget_life(life)
 
-    def heard_lately(self) -> Iterator[str]:
+    def current_peers(self) -> Iterator[str]:
         """Return the names of the peers whose counts are current."""
-        return self._peers.heard_lately()
+        return self._peers.current_peers()
 
     def peers_heard(self) -> bool:
         """Return whether the counts of any peer are current."""
-        return any(self.heard_lately())
+        return any(self.current_peers())
 
     def age_s(self) -> float:
         """Return the age of the oldest current counts of a peer, in seconds."""
@@ -108,14 +108,14 @@
         """Return the load of all entries at a replica."""
         return self._peers.sum_at(life).plus(self.own(life))
 
-    def _end(self, life: str, kind: WorkKind) -> None:
+    def _end_request(self, life: str, kind: WorkKind) -> None:
         left = self.own(life).minus(ONE[kind])
         if left == NO_LOAD:
             self._own.pop(life)
         else:
             self._own[life] = left
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._listeners:
             listener()
--- a/cactusridge/peers/offers.py
+++ b/cactusridge/peers/offers.py
@@ -15,16 +15,16 @@
 
 # Free slots of a replica that are not offered, because its own cell receives
 # further requests before the next offer.
-KEPT_SLOTS = 2
+RESERVED_SLOTS = 2
 # Number of entries to which each free slot is offered; only few entries need
 # one at a time.
-OFFERED_TO = 2
+ENTRIES_PER_SLOT = 2
 # Lifetime of an offer in seconds. Offers are repeated every half second; an
 # offer expires after three lost repeats.
-OFFER_LASTS_S = 1.6
+OFFER_LIFETIME_S = 1.6
 
 
-def share_offered(
+def slots_to_offer(
     slots: int,
     online: int,
     entries: int,
@@ -36,8 +36,8 @@
     preempt them. ``rng`` decides randomly about the remainder of the division
     among ``entries``.
     """
-    free = max(0, slots - online - KEPT_SLOTS)
-    share = free * OFFERED_TO / max(1, entries)
+    free = max(0, slots - online - RESERVED_SLOTS)
+    share = free * ENTRIES_PER_SLOT / max(1, entries)
     return int(share + rng.random())
 
 
@@ -54,7 +54,7 @@
     shared: list[str]
 
 
-def offer_in(raw: list[Any]) -> CellOffer:
+def decode_offer(raw: list[Any]) -> CellOffer:
     """Return the offer in a datagram.
 
     Raises ValueError, TypeError or AttributeError for a malformed offer.
@@ -64,11 +64,11 @@
     return CellOffer(str(cell), counts, [str(life) for life in shared])
 
 
-class Heard(NamedTuple):
+class TimedOffer(NamedTuple):
     """An offer and the monotonic time at which it expires."""
 
     offer: CellOffer
-    until: float
+    expires_at: float
 
 
 class Offers:
@@ -77,12 +77,12 @@
     def __init__(self, clock: Clock) -> None:
         """Create a store without offers."""
         self._clock = clock
-        self._cells: dict[str, Heard] = {}
+        self._cells: dict[str, TimedOffer] = {}
 
-    def heard(self, offer: CellOffer) -> None:
+    def put(self, offer: CellOffer) -> None:
         """Replace the last offer of a cell."""
-        until = self._clock.monotonic() + OFFER_LASTS_S
-        self._cells[offer.cell] = Heard(offer, until)
+        expires_at = self._clock.monotonic() + OFFER_LIFETIME_S
+        self._cells[offer.cell] = TimedOffer(offer, expires_at)
 
     def slots(self) -> dict[str, int]:
         """Return the slots that are offered now, by incarnation key."""
@@ -97,7 +97,7 @@
 
     def _current(self) -> list[CellOffer]:
         now = self._clock.monotonic()
-        for cell, heard in tuple(self._cells.items()):
-            if heard.until <= now:
+        for cell, stored in tuple(self._cells.items()):
+            if stored.expires_at <= now:
                 self._cells.pop(cell)
-        return [heard.offer for heard in self._cells.values()]
+        return [stored.offer for stored in self._cells.values()]
--- a/cactusridge/peers/peer_counts.py
+++ b/cactusridge/peers/peer_counts.py
@@ -14,14 +14,14 @@
 # Seconds without counts after which a peer is taken for stopped or
 # partitioned. Peers repeat their counts every half second, so that three
 # repeats in a row were lost.
-PEER_SILENCE_S = 1.6
+PEER_TIMEOUT_S = 1.6
 
 
 class PeerLoads(NamedTuple):
     """A peer's loads by incarnation key and when they were received."""
 
     loads: dict[str, Load]
-    heard_at: float
+    received_at: float
 
 
 class PeerCounts:
@@ -35,70 +35,70 @@
         self._by_life: dict[str, dict[str, Load]] = {}
         self._sums: dict[str, Load] = {}
 
-    def heard(self, peer: str, loads: dict[str, Load]) -> None:
+    def update(self, peer: str, loads: dict[str, Load]) -> None:
         """Replace the counts of a peer by those just received."""
-        self._drop_silent()
+        self._drop_expired()
         known = self._peers.pop(peer, None)
         before = known.loads if known else {}
         self._peers[peer] = PeerLoads(loads, self._clock.monotonic())
         for life in before.keys() | loads.keys():
             load = loads.get(life, NO_LOAD)
             if load != before.get(life, NO_LOAD):
-                self._put(life, peer, load)
+                self._set_load(life, peer, load)
 
     def forget(self, peer: str) -> None:
         """Remove a peer and its counts."""
         known = self._peers.pop(peer, None)
         for life in known.loads if known else ():
-            self._put(life, peer, NO_LOAD)
+            self._set_load(life, peer, NO_LOAD)
 
     def forget_life(self, life: str) -> None:
         """Remove what peers counted at an incarnation that has ended."""
         for peer in tuple(self._by_life.get(life, ())):
             self._peers[peer].loads.pop(life, None)
-            self._put(life, peer, NO_LOAD)
+            self._set_load(life, peer, NO_LOAD)
 
-    def heard_lately(self) -> Iterator[str]:
+    def current_peers(self) -> Iterator[str]:
         """Return the names of the peers whose counts are current."""
-        self._drop_silent()
+        self._drop_expired()
         return iter(tuple(self._peers))
 
     def age_s(self) -> float:
         """Return the age of the oldest current counts of a peer, in seconds."""
-        self._drop_silent()
+        self._drop_expired()
         if not self._peers:
             return 0
         oldest = next(iter(self._peers.values()))
-        return self._clock.monotonic() - oldest.heard_at
+        return self._clock.monotonic() - oldest.received_at
 
     def by_peer(self, life: str) -> dict[str, Load]:
         """Return the load at a replica of each peer that has any there."""
-        self._drop_silent()
+        self._drop_expired()
         return dict(self._by_life.get(life, {}))
 
     def sum_at(self, life: str) -> Load:
         """Return the load of all peers at a replica."""
-        self._drop_silent()
+        self._drop_expired()
         return self._sums.get(life, NO_LOAD)
 
-    def _drop_silent(self) -> None:
+    def _drop_expired(self) -> None:
         if not self._peers:
             return
-        oldest_at = self._clock.monotonic() - PEER_SILENCE_S
+        oldest_at = self._clock.monotonic() - PEER_TIMEOUT_S
         while self._peers:
             peer = next(iter(self._peers))
-            if self._peers[peer].heard_at >= oldest_at:
+            if self._peers[peer].received_at >= oldest_at:
                 return
             self.forget(peer)
 
-    def _put(self, life: str, peer: str, load: Load) -> None:
-        there = self._by_life.setdefault(life, {})
-        before = there.pop(peer, NO_LOAD)
+    def _set_load(self, life: str, peer: str, load: Load) -> None:
+        here = self._by_life.setdefault(life, {})
+        before = here.pop(peer, NO_LOAD)
         if load != NO_LOAD:
-            there[peer] = load
+            here[peer] = load
         total = self._sums.get(life, NO_LOAD).plus(load).minus(before)
         self._sums[life] = total
-        if not there:
+        if not here:
             # An empty sum is removed, since new replicas keep appearing for as
             # long as the process runs.
             self._by_life.pop(life)
--- a/cactusridge/peers/peer_socket.py
+++ b/cactusridge/peers/peer_socket.py
@@ -9,7 +9,7 @@
 from cactusridge import events, logs
 from cactusridge.work_meter import METER
 
-MAX_DATAGRAM = 65_507
+MAX_DATAGRAM_BYTES = 65_507
 Target = tuple[str, int]
 
 
@@ -25,9 +25,11 @@
         """Bind the address; raises OSError if it is in use."""
         self._sock.bind(self.address)
 
-    def send(self, targets: Iterable[Target], said: Mapping[str, Any]) -> None:
+    def send(
+        self, targets: Iterable[Target], message: Mapping[str, Any]
+    ) -> None:
         """Send the same message to each of ``targets``."""
-        raw = orjson.dumps(said)
+        raw = orjson.dumps(message)
         for target in targets:
             self.send_to(target, raw)
 
@@ -45,6 +47,6 @@
 
     def receive(self) -> tuple[bytes, Target]:
         """Wait for a datagram and return it with its sender; raises OSError."""
-        raw, sender = self._sock.recvfrom(MAX_DATAGRAM)
+        raw, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
         METER.steps['counts_heard'] += 1
         return raw, sender
--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -10,7 +10,7 @@
 from cactusridge.quarantine.suspects import Suspects
 
 STRIKES = 'strikes'
-WITHDRAWN = 'strikes_withdrawn'
+WITHDRAWALS = 'strikes_withdrawn'
 
 
 class PeerStrikes(StrikeListener):
@@ -25,26 +25,26 @@
         """Send and receive through ``peers``."""
         self._peers = peers
         self._suspects = suspects
-        peers.on_said(STRIKES, self._hear)
-        peers.on_said(WITHDRAWN, self._hear_withdrawn)
+        peers.on_message(STRIKES, self._handle_strikes)
+        peers.on_message(WITHDRAWALS, self._handle_withdrawals)
 
     def struck(self, strikes: Sequence[Strike]) -> None:
         """Send all strikes of one request to all peers."""
-        self._peers.say(STRIKES, [list(each) for each in strikes])
+        self._peers.broadcast(STRIKES, [list(each) for each in strikes])
 
     def withdrawn(self, pairs: Sequence[Pair]) -> None:
         """Send the withdrawal of strikes to all peers."""
-        self._peers.say(WITHDRAWN, [list(each) for each in pairs])
+        self._peers.broadcast(WITHDRAWALS, [list(each) for each in pairs])
 
-    def _hear(self, peer: Target, raw: Any) -> None:
+    def _handle_strikes(self, peer: Target, raw: Any) -> None:
         """Apply strikes from a peer; raises ValueError or TypeError."""
-        self._suspects.hear([_strike_in(each) for each in raw])
+        self._suspects.hear([_decode_strike(each) for each in raw])
 
-    def _hear_withdrawn(self, peer: Target, raw: Any) -> None:
+    def _handle_withdrawals(self, peer: Target, raw: Any) -> None:
         pairs = [(str(found), str(life)) for found, life in raw]
         self._suspects.hear_withdrawn(pairs)
 
 
-def _strike_in(raw: Any) -> Strike:
+def _decode_strike(raw: Any) -> Strike:
     fingerprint, life, stage, at = raw
     return Strike(str(fingerprint), str(life), Stage(stage), float(at))
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -98,4 +98,4 @@
     def take(self, raw, sender):
         """Hear one datagram."""
         self.heard += 1
-        self.exchange._take(raw, sender)
+        self.exchange._handle_datagram(raw, sender)
--- a/tests/burst_play.py
+++ b/tests/burst_play.py
@@ -15,7 +15,7 @@
 from cactusridge.errors import Overloaded
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.peers.cell_rules import CellRule
-from cactusridge.peers.exchange import REPEAT_S
+from cactusridge.peers.exchange import REPEAT_INTERVAL_S
 from cactusridge.peers.load import WorkKind
 from tests.burst_entry import AIM_S, HOLD_S, Entry
 from tests.cells_play import put_replicas, spread
@@ -135,10 +135,10 @@
         heapq.heappush(self._todo, (at, next(self._numbers), action, args))
 
     def _turn(self, entry, number):
-        if number % round(REPEAT_S / TURN_S):
-            entry.exchange._tell_changes()
+        if number % round(REPEAT_INTERVAL_S / TURN_S):
+            entry.exchange._send_changes()
         else:
-            entry.exchange._repeat()
+            entry.exchange._send_all()
         self._at(TURN_S, self._turn, entry, number + 1)
 
     def _arrive(self, entry):
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -2,7 +2,7 @@
 
 from cactusridge import wire
 from cactusridge.fleet.life_listener import LifeListener
-from cactusridge.fleet.replica import life_key
+from cactusridge.fleet.replica import incarnation_key
 from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
 from standins.machines.spoiled import SPOILED
@@ -132,7 +132,7 @@
         }
         self.assertEqual(self.naive.in_choice(), found)
         ended = [
-            life_key(replica_id, born and BORN + born or 0)
+            incarnation_key(replica_id, born and BORN + born or 0)
             for replica_id, born in self.naive.ended
         ]
         self.assertEqual(ended, self.ends.lives)
--- a/tests/sent_wire.py
+++ b/tests/sent_wire.py
@@ -9,16 +9,16 @@
         self.listeners = {}
         self.sent = []
 
-    def on_said(self, topic, listener):
+    def on_message(self, topic, listener):
         """Keep who listens."""
         self.listeners[topic] = listener
 
-    def say_to(self, target, topic, about):
+    def send_to(self, target, topic, payload):
         """Keep what is sent."""
-        self.sent.append((topic, about))
+        self.sent.append((topic, payload))
 
     def pass_on(self, other):
         """Let another hear what was sent here."""
         while self.sent:
-            topic, about = self.sent.pop(0)
-            other.listeners[topic](('127.0.0.1', 9), about)
+            topic, payload = self.sent.pop(0)
+            other.listeners[topic](('127.0.0.1', 9), payload)
--- a/tests/test_batch_sharing.py
+++ b/tests/test_batch_sharing.py
@@ -75,7 +75,7 @@
         """Most sharers are of the replica's cell, a few of the others."""
         self.grow(60, 40)
         for replica in self.fleet.ready(SERVICE):
-            near = self.sharing.cells.entries_at(replica.life)
+            near = self.sharing.cells.entries_of_replica(replica.life)
             found = self.sharing.of(replica.life)
             self.assertEqual(SHARERS, len(found & near))
             self.assertEqual(FAR_SHARERS, len(found - near))
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -11,7 +11,7 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.peers.cell_rules import (
     MAX_ENTRIES,
-    WHOLE,
+    SINGLE_CELL,
     ByZone,
     EntryPlace,
     OneCell,
@@ -73,7 +73,7 @@
         put_replicas(fleet, 3)
         cells = Cells('x', fleet, tuple, ByZone(), ManualClock())
         self.assertEqual({}, cells.of_service(SERVICE).cells)
-        self.assertEqual(frozenset(), cells.entries_at('i-0'))
+        self.assertEqual(frozenset(), cells.entries_of_replica('i-0'))
 
     def test_naive(self):
         """Without a division everybody is told of everything."""
@@ -81,8 +81,10 @@
         put_replicas(fleet, 59, 6)
         cells = cells_of(spread(88, 6), fleet, rule=OneCell())
         self.assertFalse(cells.several)
-        self.assertEqual(88, len(cells.entries_at('i-0')))
-        self.assertEqual({WHOLE}, set(cells.of_service(SERVICE).cells.values()))
+        self.assertEqual(88, len(cells.entries_of_replica('i-0')))
+        self.assertEqual(
+            {SINGLE_CELL}, set(cells.of_service(SERVICE).cells.values())
+        )
 
 
 class TestCells(unittest.TestCase):
@@ -104,7 +106,7 @@
 
     def test_near_and_far(self):
         """Everybody is one or the other; all cells are told."""
-        near, far = self.cells.near(), set(self.cells.far())
+        near, far = self.cells.local_entries(), set(self.cells.remote_entries())
         self.assertEqual({each.name for each in self.entries}, near | far)
         self.assertFalse(near & far)
         self.assertIn(self.cells.name, near)
@@ -114,16 +116,16 @@
         for count in (30, 88, 300):
             self.entries = spread(count, 6)
             self.clock.advance(REFRESH_S)
-            told = self.cells.entries_at('i-0')
+            told = self.cells.entries_of_replica('i-0')
             self.assertLessEqual(len(told), MAX_ENTRIES)
             self.assertTrue(told)
 
     def test_tellers(self):
         """One entry of a cell tells each far one; another if it is gone."""
-        far = self.cells.far()
+        far = self.cells.remote_entries()
         views = {
             name: cells_of(self.entries, self.fleet, name)
-            for name in self.cells.near()
+            for name in self.cells.local_entries()
         }
         alive = set(views)
         for _ in range(2):
@@ -131,18 +133,18 @@
                 tellers = [
                     each
                     for each in alive
-                    if name in views[each].told_from_here(alive - {each})
+                    if name in views[each].offer_recipients(alive - {each})
                 ]
                 self.assertEqual(1, len(tellers))
             alive -= {tellers[0]}
 
     def test_work_is_shared(self):
         """Telling is spread over the entries of a cell."""
-        near, far = self.cells.near(), self.cells.far()
+        near, far = self.cells.local_entries(), self.cells.remote_entries()
         counts = [
             len(
                 list(
-                    cells_of(self.entries, self.fleet, name).told_from_here(
+                    cells_of(self.entries, self.fleet, name).offer_recipients(
                         near,
                     ),
                 ),
@@ -155,7 +157,9 @@
     def test_leaving_replica(self):
         """One that takes no new work is told of in the own cell."""
         self.fleet.drop('i-1')
-        self.assertEqual(self.cells.near(), self.cells.entries_at('i-1'))
+        self.assertEqual(
+            self.cells.local_entries(), self.cells.entries_of_replica('i-1')
+        )
 
     def test_cells_without_replicas(self):
         """Who has none near may run batch at those of the others."""
@@ -177,9 +181,9 @@
     def test_logged(self):
         """A new division is logged once, with this entry's part in it."""
         with mock.patch.object(logs, 'emit') as emit:
-            self.cells.near()
+            self.cells.local_entries()
             self.clock.advance(REFRESH_S)
-            self.cells.near()
+            self.cells.local_entries()
         emit.assert_called_once_with(
             events.CELLS_DIVIDED,
             cells=6,
--- a/tests/test_cells_told.py
+++ b/tests/test_cells_told.py
@@ -17,8 +17,8 @@
 from cactusridge.peers.cell_rules import EntryPlace
 from cactusridge.peers.exchange import (
     ALL,
+    ANNOUNCED,
     CHANGED,
-    NEWS,
     OFFER,
 )
 from cactusridge.peers.load import Load, WorkKind
@@ -95,7 +95,7 @@
         life = self.life_in(near)
         with self.loads.running(life, kind):
             names = [name for name, _ in self.told]
-        wanted = self.cells.entries_at(life) | self.sharing.of(life)
+        wanted = self.cells.entries_of_replica(life) | self.sharing.of(life)
         self.assertEqual(sorted(wanted - {self.me.name}), sorted(names))
         self.assertEqual(near, self.me.name in wanted)
 
@@ -107,25 +107,26 @@
             self.loads.running(far, WorkKind.online),
         ):
             self.told.clear()
-            self.exchange._repeat()
+            self.exchange._send_all()
         counts = {name: said[ALL] for name, said in self.told if ALL in said}
-        own = self.cells.near() - {self.me.name}
+        own = self.cells.local_entries() - {self.me.name}
         self.assertLessEqual(own, set(counts))
         for name in {each.name for each in self.entries} - {self.me.name}:
             wanted = {
                 life
                 for life in (near, far)
-                if name in self.cells.entries_at(life) | self.sharing.of(life)
+                if name
+                in self.cells.entries_of_replica(life) | self.sharing.of(life)
             }
             self.assertEqual(wanted, set(counts.get(name, ())))
 
     def test_end_told_with_a_repeat(self):
         """What has ended since the last turn is told with all counts."""
         far = self.life_in(near=False)
-        audience = self.cells.entries_at(far) | self.sharing.of(far)
+        audience = self.cells.entries_of_replica(far) | self.sharing.of(far)
         with self.loads.running(far, WorkKind.online):
             self.told.clear()
-        self.exchange._repeat()
+        self.exchange._send_all()
         ends = {name for name, said in self.told if far in said.get(ALL, ())}
         self.assertEqual(audience - {self.me.name}, ends)
 
@@ -136,26 +137,28 @@
         entry keeps what it has there.
         """
         life = self.life_in(near=True)
-        other = self.cells.far()[0]
-        self.loads.heard(other, {life: Load(3)})
+        other = self.cells.remote_entries()[0]
+        self.loads.set_peer_loads(other, {life: Load(3)})
         self.exchange._audience._rng = random.Random(1)
         for _ in range(20):
-            self.exchange._repeat()
+            self.exchange._send_all()
         offers = collections.defaultdict(list)
         for name, offer in self.offers_told():
             self.assertEqual(self.cells.own, offer.cell)
             offers[name].append(offer.slots)
-        self.assertEqual(set(self.cells.far()), set(offers))
+        self.assertEqual(set(self.cells.remote_entries()), set(offers))
         found = [slots[life] for slots in offers[other] if life in slots]
         self.assertEqual({4}, set(found))
 
     def test_nothing_offered_when_full(self):
         """Replicas whose slots online requests hold are not offered."""
         own = self.cells.of_service(SERVICE).near
-        self.loads.heard(self.cells.far()[0], dict.fromkeys(own, Load(SLOTS)))
-        self.exchange._repeat()
+        self.loads.set_peer_loads(
+            self.cells.remote_entries()[0], dict.fromkeys(own, Load(SLOTS))
+        )
+        self.exchange._send_all()
         offers = [offer.slots for _, offer in self.offers_told()]
-        self.assertEqual(len(self.cells.far()), len(offers))
+        self.assertEqual(len(self.cells.remote_entries()), len(offers))
         self.assertFalse(any(offers))
 
     def test_news_reaches_all(self):
@@ -164,8 +167,8 @@
         self.exchange.tell('job', 7)
         self.assertEqual(everybody, {name for name, _ in self.told})
         self.told.clear()
-        self.exchange._repeat()
-        again = {name for name, said in self.told if said.get(NEWS)}
+        self.exchange._send_all()
+        again = {name for name, said in self.told if said.get(ANNOUNCED)}
         self.assertEqual(everybody, again)
 
     def test_listed_a_moment_ago(self):
@@ -174,7 +177,7 @@
         In the first moments after a start all others have.
         """
         life = self.life_in(near=True)
-        self.cells.near()
+        self.cells.local_entries()
         newcomer = self.ports.give()
         self.addresses.append(newcomer)
         with self.loads.running(life, WorkKind.online):
@@ -182,20 +185,24 @@
 
     def test_told_once_a_repeat(self):
         """What is told in a repeat grows with cells, not with entries."""
-        self.exchange._repeat()
+        self.exchange._send_all()
         self.assertEqual(len(self.entries) - 1, len(self.told))
 
     def test_offer_taken(self):
         """An offer is for so many requests at a time, until it is repeated."""
         life = self.life_in(near=False)
         raw = orjson.dumps({OFFER: ['z1/0', {life: 1}, []]})
-        self.exchange._take(raw, parse_address(self.cells.far()[0]))
+        self.exchange._handle_datagram(
+            raw, parse_address(self.cells.remote_entries()[0])
+        )
         self.assertEqual({life}, self.loads.offered())
         with self.loads.running(life, WorkKind.online):
             self.assertEqual(set(), self.loads.offered())
         self.assertEqual({life}, self.loads.offered())
         raw = orjson.dumps({OFFER: ['z1/0', {}, [life]]})
-        self.exchange._take(raw, parse_address(self.cells.far()[0]))
+        self.exchange._handle_datagram(
+            raw, parse_address(self.cells.remote_entries()[0])
+        )
         self.assertEqual(set(), self.loads.offered())
         self.assertEqual({life}, self.loads.shared())
         self.assertFalse(self.loads.peers_heard())
@@ -213,13 +220,13 @@
         said = orjson.dumps({OFFER: raw})
         with mock.patch.object(PeerSocket, 'receive', lambda _: (said, FAR)):
             with emitted() as found:
-                self.exchange._listen()
+                self.exchange._receive()
         self.assertEqual([events.PEER_UNREADABLE], found)
         self.assertEqual(set(), self.loads.offered())
 
     def test_shared(self):
         """Who may run batch at a replica hears that it is told of it."""
-        self.exchange._repeat()
+        self.exchange._send_all()
         for name, offer in self.offers_told():
             for life in self.cells.of_service(SERVICE).near:
                 shares = name in self.sharing.of(life)
@@ -228,19 +235,19 @@
     def test_holder_is_told(self):
         """Who has requests at a replica is told, whatever its cell."""
         life = self.life_in(near=True)
-        told = self.cells.entries_at(life) | self.sharing.of(life)
-        other = min(set(self.cells.far()) - told)
-        self.loads.heard(other, {life: Load(0, 1)})
+        told = self.cells.entries_of_replica(life) | self.sharing.of(life)
+        other = min(set(self.cells.remote_entries()) - told)
+        self.loads.set_peer_loads(other, {life: Load(0, 1)})
         with self.loads.running(life, WorkKind.online):
             self.assertIn(other, {name for name, _ in self.told})
 
     def test_far_peer_that_is_done(self):
         """An entry of another cell is heard while it has requests here."""
-        far = parse_address(self.cells.far()[0])
-        near = parse_address(min(self.cells.near() - {self.me.name}))
+        far = parse_address(self.cells.remote_entries()[0])
+        near = parse_address(min(self.cells.local_entries() - {self.me.name}))
         life = self.life_in(near=True)
         for count in (1, 0):
             raw = orjson.dumps({CHANGED: {life: [count, 0, 0]}})
             for sender in (far, near):
-                self.exchange._take(raw, sender)
-        self.assertEqual([str(near)], list(self.loads.heard_lately()))
+                self.exchange._handle_datagram(raw, sender)
+        self.assertEqual([str(near)], list(self.loads.current_peers()))
--- a/tests/test_dispatch_decisions.py
+++ b/tests/test_dispatch_decisions.py
@@ -121,7 +121,7 @@
         """Own and peers' counts add up until a peer falls silent."""
         clock = ManualClock()
         table = LoadTable(clock)
-        table.heard('p', {'x': Load(2, 1)})
+        table.set_peer_loads('p', {'x': Load(2, 1)})
         with table.running('x', WorkKind.online):
             self.assertEqual(Load(3, 1), table.at('x'))
             clock.advance(2)
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -71,7 +71,7 @@
         names = tuple(f'10.0.0.{number}:1' for number in range(entries))
         loads = LoadTable(clock)
         for peer in names[1:]:
-            loads.heard(peer, dict.fromkeys(ids, Load(1, 1)))
+            loads.set_peer_loads(peer, dict.fromkeys(ids, Load(1, 1)))
         hold = SimpleNamespace(mean_s=0)
         runner = SimpleNamespace(
             loads=loads,
--- a/tests/test_free_replicas.py
+++ b/tests/test_free_replicas.py
@@ -36,7 +36,7 @@
 
     def fill_near(self):
         """Let all near replicas be full."""
-        self.loads.heard(PEER, dict.fromkeys(self.near, Load(SLOTS)))
+        self.loads.set_peer_loads(PEER, dict.fromkeys(self.near, Load(SLOTS)))
 
     def found(self):
         """Return the life of the replica with the most room, or None."""
@@ -46,9 +46,9 @@
     def test_near_first(self):
         """While one of the own cell has room no other is taken."""
         far = self.mine - self.near
-        self.loads.heard_offer(CellOffer('z1/0', {}, list(far)))
+        self.loads.set_offer(CellOffer('z1/0', {}, list(far)))
         busy = dict.fromkeys(self.near, Load(SLOTS - 1))
-        self.loads.heard(PEER, busy)
+        self.loads.set_peer_loads(PEER, busy)
         self.assertIn(self.found(), self.near)
 
     def test_unknown_is_not_empty(self):
@@ -56,7 +56,7 @@
         self.fill_near()
         self.assertIsNone(self.found())
         far = min(self.mine - self.near)
-        self.loads.heard_offer(CellOffer('z1/0', {}, [far]))
+        self.loads.set_offer(CellOffer('z1/0', {}, [far]))
         self.assertEqual(far, self.found())
-        self.loads.heard('10.0.0.1:1', {far: Load(SLOTS)})
+        self.loads.set_peer_loads('10.0.0.1:1', {far: Load(SLOTS)})
         self.assertIsNone(self.found())
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -176,7 +176,7 @@
         """Return an answer after the ways there and back, in seconds."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
-        loads.heard('127.0.0.1:9', {})
+        loads.set_peer_loads('127.0.0.1:9', {})
         here, there = Wire(), Wire()
         asker = KeyQuestions(here, loads, Known(None), clock)
         KeyQuestions(there, loads, Known(known), clock)
@@ -198,7 +198,7 @@
         """A peer that is silent is waited for no longer than a moment."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
-        loads.heard('127.0.0.1:9', {})
+        loads.set_peer_loads('127.0.0.1:9', {})
         asker = KeyQuestions(Wire(), loads, Known(None), clock)
         self.assertIsNone(asker.ask())
 
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -5,7 +5,7 @@
 from cactusridge import events
 from cactusridge.dispatch.run import Runner
 from cactusridge.fleet.life_listener import LifeListener
-from cactusridge.fleet.replica import life_key
+from cactusridge.fleet.replica import incarnation_key
 from cactusridge.http.client import Address
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load, WorkKind
@@ -18,8 +18,8 @@
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
 
 ID = 'i-0'
-OLD = life_key(ID, BORN)
-NEW = life_key(ID, BORN + 1)
+OLD = incarnation_key(ID, BORN)
+NEW = incarnation_key(ID, BORN + 1)
 SPOILED = 'no zone'
 
 
@@ -98,19 +98,19 @@
 
     def test_counts(self):
         """Requests at a former life hold no slot of the next."""
-        self.loads.heard('peer', {OLD: Load(5, 2, 1)})
+        self.loads.set_peer_loads('peer', {OLD: Load(5, 2, 1)})
         with self.loads.running(OLD, WorkKind.online):
             self.reborn()
             self.assertEqual(Load(), self.loads.at(NEW))
             self.assertEqual(Load(1), self.loads.at(OLD))
             # A peer that has not heard of it yet.
-            self.loads.heard('peer', {OLD: Load(4)})
+            self.loads.set_peer_loads('peer', {OLD: Load(4)})
             self.assertEqual(Load(), self.loads.at(NEW))
         self.assertEqual({}, self.loads.all_own())
 
     def test_verdict(self):
         """An ejected life's successor is in choice at once."""
-        other = life_key('i-1', BORN)
+        other = incarnation_key('i-1', BORN)
         self.health.failed(OLD, certain=True)
         self.assertEqual({other}, self.health.allowed([OLD, other]))
         self.reborn()
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -5,14 +5,14 @@
 from nose2.tools import params
 
 from cactusridge import events
-from cactusridge.fleet.life_order import MAX_GONE
-from cactusridge.fleet.life_rule import lives_told, names_replica
-from cactusridge.fleet.replica import NOT_TOLD, life_key
+from cactusridge.fleet.life_order import MAX_UNLISTED
+from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
+from cactusridge.fleet.replica import NOT_TOLD, incarnation_key
 from cactusridge.http.client import Address
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
 
 ID = 'i-0'
-OLD = life_key(ID, BORN)
+OLD = incarnation_key(ID, BORN)
 ELSEWHERE = '127.0.0.1:8001'
 GONE = 'gone'
 SPOILED = 'no zone'
@@ -30,7 +30,7 @@
     )
     def test_key(self, life, wanted):
         """No id makes the key of another's life."""
-        self.assertEqual(wanted, life_key(*life))
+        self.assertEqual(wanted, incarnation_key(*life))
 
 
 class TestRule(DiscoveryCase):
@@ -47,7 +47,7 @@
     )
     def test_most_tell(self, telling, known, wanted):
         """The list tells lives if most of its replicas do."""
-        self.assertEqual(wanted, lives_told(telling, known))
+        self.assertEqual(wanted, most_have_start_time(telling, known))
 
     @params(
         (5, NOT_TOLD, False, True),
@@ -59,7 +59,7 @@
     )
     def test_names_replica(self, born, newest, told, wanted):
         """Without a life it counts where nobody tells one."""
-        self.assertEqual(wanted, names_replica(born, newest, told))
+        self.assertEqual(wanted, is_usable_entry(born, newest, told))
 
     @params('uuut', 'tuuu', 'utuu', 'uutt', 'ttuu')
     def test_few_tell(self, entries):
@@ -167,7 +167,7 @@
         self.list.put(row)
         self.assertEqual(1, self.logged(events.LIFE_OUT_OF_ORDER))
 
-    @params((MAX_GONE - 1, 0), (MAX_GONE, 1))
+    @params((MAX_UNLISTED - 1, 0), (MAX_UNLISTED, 1))
     def test_memory_is_bounded(self, others, wanted):
         """The newest life is remembered until so many others have gone."""
         self.put(ID, ENTRY, born=BORN + 1)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,7 @@
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.exchange import (
     ALL,
-    WORD,
+    STATUS,
 )
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
@@ -86,7 +86,7 @@
 
     def test_word_of_an_older_entry(self):
         """Without the time it vouches for nothing; the rest counts."""
-        raw = orjson.dumps({ALL: {}, WORD: [4, True]})
+        raw = orjson.dumps({ALL: {}, STATUS: [4, True]})
         self.one.sock.send_to(self.two.address, raw)
         wait_for('the word', lambda: Word(4, True, 0) in self.two.words)
 
