--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -5,7 +5,7 @@
 
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
-from cactusridge.quarantine.strike import Pair, Stage, Strike
+from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.quarantine.strike_listener import StrikeListener
 from cactusridge.quarantine.suspects import Suspects
 
@@ -28,21 +28,21 @@
         peers.on_message(STRIKES, self._handle_strikes)
         peers.on_message(WITHDRAWALS, self._handle_withdrawals)
 
-    def struck(self, strikes: Sequence[Strike]) -> None:
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
         """Send all strikes of one request to all peers."""
         self._peers.broadcast(STRIKES, [list(each) for each in strikes])
 
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
         """Send the withdrawal of strikes to all peers."""
         self._peers.broadcast(WITHDRAWALS, [list(each) for each in pairs])
 
     def _handle_strikes(self, peer: Target, raw: Any) -> None:
         """Apply strikes from a peer; raises ValueError or TypeError."""
-        self._suspects.hear([_decode_strike(each) for each in raw])
+        self._suspects.add_strikes([_decode_strike(each) for each in raw])
 
     def _handle_withdrawals(self, peer: Target, raw: Any) -> None:
         pairs = [(str(found), str(life)) for found, life in raw]
-        self._suspects.hear_withdrawn(pairs)
+        self._suspects.apply_withdrawals(pairs)
 
 
 def _decode_strike(raw: Any) -> Strike:
--- a/cactusridge/quarantine/fingerprint.py
+++ b/cactusridge/quarantine/fingerprint.py
@@ -26,12 +26,12 @@
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (caller, method, host, target):
-        _add(digest, part.encode())
-    _add(digest, body)
+        _hash_part(digest, part.encode())
+    _hash_part(digest, body)
     return digest.hexdigest()
 
 
-def _add(digest: hashlib.blake2b, part: bytes) -> None:
+def _hash_part(digest: hashlib.blake2b, part: bytes) -> None:
     """Hash a part with its length, so that adjacent parts stay distinct."""
     digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
     digest.update(part)
--- a/cactusridge/quarantine/policies.py
+++ b/cactusridge/quarantine/policies.py
@@ -2,6 +2,6 @@
 
 from types import MappingProxyType
 
-from cactusridge.quarantine.rules import ByCrashes, HoldNothing
+from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
 
-RULES = MappingProxyType({'by_crashes': ByCrashes, 'none': HoldNothing})
+RULES = MappingProxyType({'by_crashes': ByCrashes, 'none': NoQuarantine})
--- a/cactusridge/quarantine/rules.py
+++ b/cactusridge/quarantine/rules.py
@@ -4,17 +4,22 @@
 import itertools
 from collections.abc import Mapping
 
-from cactusridge.quarantine.strike import HELD_AT, POINTS, Stage, Strike
+from cactusridge.quarantine.strike import (
+    QUARANTINE_POINTS,
+    STAGE_POINTS,
+    Stage,
+    Strike,
+)
 
 # Strikes by fingerprint, then by incarnation key of the replica.
-Strikes = Mapping[str, Mapping[str, Strike]]
+StrikesByRequest = Mapping[str, Mapping[str, Strike]]
 
 
 class QuarantineRule(abc.ABC):
     """Decides which requests are quarantined."""
 
     @abc.abstractmethod
-    def held(self, strikes: Strikes) -> frozenset[str]:
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
         """Return the fingerprints of the requests quarantined now."""
 
 
@@ -30,35 +35,39 @@
     were there.
     """
 
-    def held(self, strikes: Strikes) -> frozenset[str]:
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
         """Return the certain causes and the suspects of all other crashes."""
         certain = frozenset(
-            found for found, lives in strikes.items() if _is_certain(lives)
+            fingerprint
+            for fingerprint, lives in strikes.items()
+            if _is_certain(lives)
         )
         explained = frozenset(
-            itertools.chain.from_iterable(strikes[found] for found in certain),
+            itertools.chain.from_iterable(
+                strikes[fingerprint] for fingerprint in certain
+            ),
         )
         suspected = frozenset(
-            found
-            for found, lives in strikes.items()
-            if _points(lives, explained) >= HELD_AT
+            fingerprint
+            for fingerprint, lives in strikes.items()
+            if _points(lives, explained) >= QUARANTINE_POINTS
         )
         return certain | suspected
 
 
-class HoldNothing(QuarantineRule):
+class NoQuarantine(QuarantineRule):
     """Naive rule: quarantines no request, whatever crashes it caused."""
 
-    def held(self, strikes: Strikes) -> frozenset[str]:
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
         """Return an empty set."""
         return frozenset()
 
 
 def _is_certain(lives: Mapping[str, Strike]) -> bool:
     begun = [each for each in lives.values() if each.stage == Stage.begun]
-    return len(begun) * POINTS[Stage.begun] >= HELD_AT
+    return len(begun) * STAGE_POINTS[Stage.begun] >= QUARANTINE_POINTS
 
 
 def _points(lives: Mapping[str, Strike], explained: frozenset[str]) -> int:
-    open_ones = lives.keys() - explained
-    return sum(lives[life].points for life in open_ones)
+    unexplained = lives.keys() - explained
+    return sum(lives[life].points for life in unexplained)
--- a/cactusridge/quarantine/strike.py
+++ b/cactusridge/quarantine/strike.py
@@ -6,7 +6,7 @@
 
 # The sum of points at which a request is quarantined: three strikes in stage
 # ``begun``, that is, three crashed replicas.
-HELD_AT = 6
+QUARANTINE_POINTS = 6
 
 
 class Stage(enum.StrEnum):
@@ -22,13 +22,13 @@
 
 # A request that has started without output is the likeliest cause of a crash.
 # Requests in other stages usually only shared the replica with it.
-POINTS = MappingProxyType(
+STAGE_POINTS = MappingProxyType(
     {Stage.queued: 1, Stage.begun: 2, Stage.answering: 1},
 )
 
 
 # A fingerprint and the incarnation key of a replica.
-Pair = tuple[str, str]
+StrikePair = tuple[str, str]
 
 
 class Strike(NamedTuple):
@@ -44,11 +44,11 @@
     at: float
 
     @property
-    def pair(self) -> Pair:
+    def pair(self) -> StrikePair:
         """The fingerprint and incarnation key that identify the strike."""
         return self.fingerprint, self.life
 
     @property
     def points(self) -> int:
         """The weight of the strike as evidence against the request."""
-        return POINTS[self.stage]
+        return STAGE_POINTS[self.stage]
--- a/cactusridge/quarantine/strike_book.py
+++ b/cactusridge/quarantine/strike_book.py
@@ -6,12 +6,12 @@
 
 from cactusridge.clock import Clock
 from cactusridge.quarantine.rules import QuarantineRule
-from cactusridge.quarantine.strike import Pair, Strike
+from cactusridge.quarantine.strike import Strike, StrikePair
 
 # Lifetime of a strike, in seconds.
-STRIKE_LASTS_S = 3600
+STRIKE_LIFETIME_S = 3600
 # Shortest time in which a crashed replica can be serving again, in seconds.
-BACK_S = 1.0
+MIN_RESTART_S = 1.0
 # Limits how many requests have their strikes kept; the request that was added
 # first is evicted first.
 MAX_REQUESTS = 4096
@@ -20,11 +20,11 @@
 MAX_WITHDRAWN = 16_384
 
 
-class Noted(NamedTuple):
+class RecordedStrike(NamedTuple):
     """A strike and the monotonic time at which this entry recorded it."""
 
     strike: Strike
-    noted_at: float
+    recorded_at: float
 
 
 class StrikeBook:
@@ -38,120 +38,127 @@
         """Create an empty book whose quarantines follow ``rule``."""
         self._rule = rule
         self._clock = clock
-        self._noted: OrderedDict[str, dict[str, Noted]] = OrderedDict()
-        self._at_life: defaultdict[str, set[str]] = defaultdict(set)
-        self._withdrawn: OrderedDict[Pair, None] = OrderedDict()
+        self._recorded: OrderedDict[str, dict[str, RecordedStrike]] = (
+            OrderedDict()
+        )
+        self._by_life: defaultdict[str, set[str]] = defaultdict(set)
+        self._withdrawn: OrderedDict[StrikePair, None] = OrderedDict()
         # None means that the set must be computed again.
-        self._held: frozenset[str] | None = frozenset()
-        self._held_until = float('inf')
+        self._quarantined: frozenset[str] | None = frozenset()
+        self._valid_until = float('inf')
 
     def add(self, strike: Strike) -> bool:
         """Record a strike; return whether it is new and still valid."""
-        if self._is_over(strike) or self._knows(strike):
+        if self._is_expired(strike) or self._is_known(strike):
             return False
-        found = self._noted.setdefault(strike.fingerprint, {})
-        found[strike.life] = Noted(strike, self._clock.monotonic())
-        self._at_life[strike.life].add(strike.fingerprint)
-        self._held = None
-        if len(self._noted) > MAX_REQUESTS:
-            oldest = next(iter(self._noted))
-            for life in tuple(self._noted[oldest]):
+        found = self._recorded.setdefault(strike.fingerprint, {})
+        found[strike.life] = RecordedStrike(strike, self._clock.monotonic())
+        self._by_life[strike.life].add(strike.fingerprint)
+        self._quarantined = None
+        if len(self._recorded) > MAX_REQUESTS:
+            oldest = next(iter(self._recorded))
+            for life in tuple(self._recorded[oldest]):
                 self._remove(oldest, life)
         return True
 
-    def withdraw(self, pairs: Iterable[Pair]) -> list[Pair]:
+    def withdraw(self, pairs: Iterable[StrikePair]) -> list[StrikePair]:
         """Withdraw strikes permanently; return those that were known."""
         known = []
         for fingerprint, life in pairs:
             self._withdrawn[(fingerprint, life)] = None
-            if life in self._noted.get(fingerprint, {}):
+            if life in self._recorded.get(fingerprint, {}):
                 self._remove(fingerprint, life)
                 known.append((fingerprint, life))
         while len(self._withdrawn) > MAX_WITHDRAWN:
             self._withdrawn.popitem(last=False)
         return known
 
-    def held(self) -> frozenset[str]:
+    def quarantined(self) -> frozenset[str]:
         """Return the fingerprints of the quarantined requests."""
-        if self._held is None or self._clock.wall() >= self._held_until:
-            self._forget_old()
-            self._held = self._rule.held(self._strikes())
-            self._held_until = self._next_end()
-        return self._held
+        if self._quarantined is None or self._clock.wall() >= self._valid_until:
+            self._drop_expired()
+            self._quarantined = self._rule.quarantined(self._strikes())
+            self._valid_until = self._next_expiry()
+        return self._quarantined
 
-    def held_for_s(self, fingerprint: str) -> float:
+    def min_remaining_s(self, fingerprint: str) -> float:
         """Return the seconds until the oldest strike of a request expires.
 
         The request stays in quarantine for at least this long, unless strikes
         are withdrawn.
         """
-        found = self._noted.get(fingerprint, {}).values()
+        found = self._recorded.get(fingerprint, {}).values()
         first_at = min((each.strike.at for each in found), default=0)
-        return max(0, first_at + STRIKE_LASTS_S - self._clock.wall())
+        return max(0, first_at + STRIKE_LIFETIME_S - self._clock.wall())
 
     def strikes(self, fingerprint: str) -> list[Strike]:
         """Return the known strikes of a request."""
-        found = self._noted.get(fingerprint, {}).values()
+        found = self._recorded.get(fingerprint, {}).values()
         return [each.strike for each in found]
 
-    def disproved(self, life: str, sent_at: float) -> list[Pair]:
+    def disproved(self, life: str, sent_at: float) -> list[StrikePair]:
         """Return the strikes that a response from a replica disproves.
 
         ``sent_at`` is the monotonic time at which the answered request was
         sent. A strike recorded before it is disproved, because the incarnation
-        still serves. Strikes older than BACK_S stay: the replica may have
-        restarted under its id before this entry has read its new start time.
+        still serves. Strikes older than MIN_RESTART_S stay: the replica may
+        have restarted under its id before this entry has read its new start
+        time.
         """
-        back_at = self._clock.monotonic() - BACK_S
+        oldest_at = self._clock.monotonic() - MIN_RESTART_S
         return [
-            (found, life)
-            for found in self._at_life.get(life, ())
-            if back_at < self._noted[found][life].noted_at < sent_at
+            (fingerprint, life)
+            for fingerprint in self._by_life.get(life, ())
+            if oldest_at
+            < self._recorded[fingerprint][life].recorded_at
+            < sent_at
         ]
 
-    def is_withdrawn(self, pair: Pair) -> bool:
+    def is_withdrawn(self, pair: StrikePair) -> bool:
         """Return whether a strike has been withdrawn."""
         return pair in self._withdrawn
 
-    def _knows(self, strike: Strike) -> bool:
-        known = self._noted.get(strike.fingerprint, {})
+    def _is_known(self, strike: Strike) -> bool:
+        known = self._recorded.get(strike.fingerprint, {})
         return self.is_withdrawn(strike.pair) or strike.life in known
 
-    def _is_over(self, strike: Strike) -> bool:
-        return strike.at + STRIKE_LASTS_S <= self._clock.wall()
+    def _is_expired(self, strike: Strike) -> bool:
+        return strike.at + STRIKE_LIFETIME_S <= self._clock.wall()
 
     def _strikes(self) -> dict[str, dict[str, Strike]]:
         return {
-            found: {life: noted.strike for life, noted in lives.items()}
-            for found, lives in self._noted.items()
+            fingerprint: {
+                life: recorded.strike for life, recorded in lives.items()
+            }
+            for fingerprint, lives in self._recorded.items()
         }
 
-    def _forget_old(self) -> None:
-        over = [
-            (found, life)
-            for found, lives in self._noted.items()
-            for life, noted in lives.items()
-            if self._is_over(noted.strike)
+    def _drop_expired(self) -> None:
+        expired = [
+            (fingerprint, life)
+            for fingerprint, lives in self._recorded.items()
+            for life, recorded in lives.items()
+            if self._is_expired(recorded.strike)
         ]
-        for pair in over:
+        for pair in expired:
             self._remove(*pair)
 
-    def _next_end(self) -> float:
+    def _next_expiry(self) -> float:
         """Return when the next strike expires, in Unix seconds."""
-        begun = (
-            noted.strike.at
-            for lives in self._noted.values()
-            for noted in lives.values()
+        recorded_times = (
+            recorded.strike.at
+            for lives in self._recorded.values()
+            for recorded in lives.values()
         )
-        return min(begun, default=float('inf')) + STRIKE_LASTS_S
+        return min(recorded_times, default=float('inf')) + STRIKE_LIFETIME_S
 
     def _remove(self, fingerprint: str, life: str) -> None:
-        lives = self._noted[fingerprint]
+        lives = self._recorded[fingerprint]
         lives.pop(life)
         if not lives:
-            self._noted.pop(fingerprint)
-        here = self._at_life[life]
+            self._recorded.pop(fingerprint)
+        here = self._by_life[life]
         here.discard(fingerprint)
         if not here:
-            self._at_life.pop(life)
-        self._held = None
+            self._by_life.pop(life)
+        self._quarantined = None
--- a/cactusridge/quarantine/strike_listener.py
+++ b/cactusridge/quarantine/strike_listener.py
@@ -3,16 +3,16 @@
 import abc
 from collections.abc import Sequence
 
-from cactusridge.quarantine.strike import Pair, Strike
+from cactusridge.quarantine.strike import Strike, StrikePair
 
 
 class StrikeListener(abc.ABC):
     """Is notified of the strikes and withdrawals of this entry itself."""
 
     @abc.abstractmethod
-    def struck(self, strikes: Sequence[Strike]) -> None:
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
         """Publish all known strikes of one request."""
 
     @abc.abstractmethod
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
         """Publish the withdrawal of strikes."""
--- a/cactusridge/quarantine/strike_row.py
+++ b/cactusridge/quarantine/strike_row.py
@@ -1,12 +1,12 @@
 """Conversion between strikes and rows of the store."""
 
 from cactusridge.hashing import hash64
-from cactusridge.quarantine.strike import Pair, Stage, Strike
+from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.store.fields import Fields
 from cactusridge.store.table import Row, Write
 
 
-def strike_key(prefix: str, pair: Pair) -> str:
+def strike_key(prefix: str, pair: StrikePair) -> str:
     """Return the key of a strike's row below ``prefix``.
 
     The key contains a hash of the incarnation key, which may itself be longer
@@ -21,7 +21,7 @@
     return Write(strike_key(prefix, strike.pair), strike._asdict())
 
 
-def strike_in(row: Row) -> Strike:
+def decode_strike(row: Row) -> Strike:
     """Return the strike in a row; raises UnreadableField."""
     fields = Fields(row.value)
     return Strike(
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -8,11 +8,11 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.quarantine.strike import Pair, Strike
-from cactusridge.quarantine.strike_book import STRIKE_LASTS_S
+from cactusridge.quarantine.strike import Strike, StrikePair
+from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_listener import StrikeListener
 from cactusridge.quarantine.strike_row import (
-    strike_in,
+    decode_strike,
     strike_key,
     strike_write,
 )
@@ -22,7 +22,7 @@
 from cactusridge.store.table_follower import TableListener
 
 # Rows written in one transaction; the store accepts at most 100.
-MAX_WRITES = 90
+MAX_WRITES_PER_TRANSACTION = 90
 RETRY_S = 0.5
 
 
@@ -53,15 +53,15 @@
         self._reader = RowReader()
         self._wake = Event()
         self._unsaved: dict[str, Write] = {}
-        self._stored: dict[str, Pair] = {}
+        self._stored: dict[str, StrikePair] = {}
 
-    def struck(self, strikes: Sequence[Strike]) -> None:
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
         """Store the strikes of a request if there are enough of them."""
         if len(strikes) >= self._least:
             writes = [strike_write(self._prefix, each) for each in strikes]
             self._save(each for each in writes if each.key not in self._stored)
 
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
         """Remove withdrawn strikes from the store if it has them."""
         keys = [strike_key(self._prefix, pair) for pair in pairs]
         for key in keys:
@@ -70,14 +70,14 @@
 
     def put(self, row: Row) -> None:
         """Apply a row that was read; raises UnreadableRecord."""
-        strike = self._reader.read(row, strike_in)
+        strike = self._reader.read(row, decode_strike)
         if strike is None:
             self._forget({row.key})
             return
         self._stored[row.key] = strike.pair
-        self._suspects.hear([strike])
-        over = strike.at + STRIKE_LASTS_S <= self._clock.wall()
-        if over or self._suspects.is_withdrawn(strike.pair):
+        self._suspects.add_strikes([strike])
+        expired = strike.at + STRIKE_LIFETIME_S <= self._clock.wall()
+        if expired or self._suspects.is_withdrawn(strike.pair):
             # The strike has expired, or the write that stored it was applied
             # after its removal.
             self._save([Write(row.key, None)])
@@ -104,7 +104,7 @@
 
     def _write_all(self) -> None:
         while self._unsaved:
-            writes = list(self._unsaved.values())[:MAX_WRITES]
+            writes = list(self._unsaved.values())[:MAX_WRITES_PER_TRANSACTION]
             self._table.transact([], writes, Priority.commit)
             for write in writes:
                 if self._unsaved.get(write.key) is write:
@@ -112,4 +112,4 @@
 
     def _forget(self, keys: Iterable[str]) -> None:
         pairs = [self._stored.pop(key) for key in keys if key in self._stored]
-        self._suspects.hear_withdrawn(pairs)
+        self._suspects.apply_withdrawals(pairs)
--- a/cactusridge/quarantine/suspects.py
+++ b/cactusridge/quarantine/suspects.py
@@ -6,7 +6,7 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import Quarantined
 from cactusridge.quarantine.rules import QuarantineRule
-from cactusridge.quarantine.strike import Pair, Stage, Strike
+from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.quarantine.strike_book import StrikeBook
 from cactusridge.quarantine.strike_listener import StrikeListener
 
@@ -23,7 +23,7 @@
         self._book = StrikeBook(rule, clock)
         self._clock = clock
         self._listeners: list[StrikeListener] = []
-        self._held: frozenset[str] = frozenset()
+        self._quarantined: frozenset[str] = frozenset()
 
     def pass_on(self, listener: StrikeListener) -> None:
         """Notify ``listener`` of strikes and withdrawals of this entry."""
@@ -35,12 +35,12 @@
             return
         raise Quarantined(
             'replicas have crashed while running this request',
-            retry_after_s=self._book.held_for_s(fingerprint),
+            retry_after_s=self._book.min_remaining_s(fingerprint),
         )
 
     def is_held(self, fingerprint: str) -> bool:
         """Return whether a request is quarantined."""
-        return fingerprint in self._book.held()
+        return fingerprint in self._book.quarantined()
 
     def crashed(self, fingerprint: str, life: str, stage: Stage) -> None:
         """Record that a replica crashed while it had this request."""
@@ -49,7 +49,7 @@
             return
         known = self._book.strikes(fingerprint)
         for listener in self._listeners:
-            listener.struck(known)
+            listener.publish_strikes(known)
 
     def answered(self, life: str, sent_at: float) -> None:
         """Record that a replica responded to a request sent at ``sent_at``.
@@ -57,34 +57,34 @@
         ``sent_at`` is a monotonic time. The replica is running, so it did not
         crash under the requests that broke off there earlier.
         """
-        self._take_back(self._book.disproved(life, sent_at))
+        self._withdraw(self._book.disproved(life, sent_at))
 
     def survived(self, fingerprint: str) -> None:
         """Record that a replica has run this request to completion."""
         found = self._book.strikes(fingerprint)
-        self._take_back([each.pair for each in found])
+        self._withdraw([each.pair for each in found])
 
-    def hear(self, strikes: Iterable[Strike]) -> None:
+    def add_strikes(self, strikes: Iterable[Strike]) -> None:
         """Add strikes received from another entry."""
         for strike in strikes:
             self._add(strike)
 
-    def is_withdrawn(self, pair: Pair) -> bool:
+    def is_withdrawn(self, pair: StrikePair) -> bool:
         """Return whether a strike is known to be withdrawn."""
         return self._book.is_withdrawn(pair)
 
-    def hear_withdrawn(self, pairs: Iterable[Pair]) -> None:
+    def apply_withdrawals(self, pairs: Iterable[StrikePair]) -> None:
         """Apply withdrawals received from another entry."""
         if self._book.withdraw(pairs):
-            self._report_held()
+            self._report_quarantined()
 
-    def _take_back(self, pairs: Sequence[Pair]) -> None:
+    def _withdraw(self, pairs: Sequence[StrikePair]) -> None:
         if not pairs:
             return
         self._book.withdraw(pairs)
-        self._report_held()
+        self._report_quarantined()
         for listener in self._listeners:
-            listener.withdrawn(pairs)
+            listener.publish_withdrawals(pairs)
 
     def _add(self, strike: Strike) -> bool:
         if not self._book.add(strike):
@@ -97,16 +97,16 @@
             stage=strike.stage,
             strikes=len(self._book.strikes(strike.fingerprint)),
         )
-        self._report_held()
+        self._report_quarantined()
         return True
 
-    def _report_held(self) -> None:
+    def _report_quarantined(self) -> None:
         """Log which requests enter and leave quarantine; update the metric."""
-        held = self._book.held()
-        for caught in held - self._held:
-            lives = [each.life for each in self._book.strikes(caught)]
-            logs.emit(events.QUARANTINED, fingerprint=caught, lives=lives)
-        for freed in self._held - held:
-            logs.emit(events.QUARANTINE_ENDED, fingerprint=freed)
-        self._held = held
-        metrics.HELD_BACK.set({}, len(held))
+        quarantined = self._book.quarantined()
+        for added in quarantined - self._quarantined:
+            lives = [each.life for each in self._book.strikes(added)]
+            logs.emit(events.QUARANTINED, fingerprint=added, lives=lives)
+        for removed in self._quarantined - quarantined:
+            logs.emit(events.QUARANTINE_ENDED, fingerprint=removed)
+        self._quarantined = quarantined
+        metrics.HELD_BACK.set({}, len(quarantined))
--- a/cactusridge/routing/candidates.py
+++ b/cactusridge/routing/candidates.py
@@ -44,8 +44,8 @@
     Otherwise all entries would keep choosing a replica whose last report
     happened to be low.
     """
-    then = max(0, candidate.reported - candidate.own_then)
-    like_own = candidate.own * (candidate.sharers - 1)
-    trust = 0.5 ** (candidate.age_s / REPORT_HALF_LIFE_S)
-    others = then * trust + like_own * (1 - trust)
+    reported_others = max(0, candidate.reported - candidate.own_then)
+    estimated_others = candidate.own * (candidate.sharers - 1)
+    freshness = 0.5 ** (candidate.age_s / REPORT_HALF_LIFE_S)
+    others = reported_others * freshness + estimated_others * (1 - freshness)
     return (candidate.own + others) / max(1, candidate.limit)
--- a/cactusridge/routing/membership.py
+++ b/cactusridge/routing/membership.py
@@ -6,7 +6,7 @@
 from cactusridge.store.host_list import HostState
 
 SILENT_PROBES = 6
-UNLISTED_S = 30
+UNLISTED_GRACE_S = 30
 
 
 class Belief(enum.StrEnum):
@@ -42,14 +42,14 @@
     its incarnation. A host that is listed as leaving counts as such too,
     because either source alone must be enough. A host that has not responded
     for SILENT_PROBES probes gets no new work, whatever the list says. An
-    unlisted host that responds is still used for UNLISTED_S seconds, because
-    the list can lag behind. After that, or if it does not respond, it counts
-    as gone.
+    unlisted host that responds is still used for UNLISTED_GRACE_S seconds,
+    because the list can lag behind. After that, or if it does not respond, it
+    counts as gone.
     """
-    patience_s = SILENT_PROBES * evidence.probe_s
-    silent = evidence.heard_s is None or evidence.heard_s > patience_s
+    timeout_s = SILENT_PROBES * evidence.probe_s
+    silent = evidence.heard_s is None or evidence.heard_s > timeout_s
     if evidence.listed is None:
-        if silent or evidence.unlisted_s > UNLISTED_S:
+        if silent or evidence.unlisted_s > UNLISTED_GRACE_S:
             return Belief.gone
     if evidence.draining or evidence.listed == HostState.leaving:
         return Belief.leaving
--- a/cactusridge/routing/outliers.py
+++ b/cactusridge/routing/outliers.py
@@ -9,13 +9,13 @@
 from cactusridge import events, logs, metrics
 from cactusridge.clock import Clock
 
-FAILURES = 3
+FAILURES_TO_EJECT = 3
 SLOW_FACTOR = 3
 MIN_SAMPLES = 8
-FIRST_PAUSE_S = 2
-MAX_PAUSE_S = 30
-MAX_SHARE = 0.5
-TRIALS = 2
+FIRST_EJECTION_S = 2
+MAX_EJECTION_S = 30
+MAX_EJECTED_SHARE = 0.5
+TRIAL_REQUESTS = 2
 MAX_TRACKED = 4096
 
 
@@ -30,7 +30,7 @@
     failures: int = 0
     pace_s: float = 0
     samples: int = 0
-    pause_s: float = FIRST_PAUSE_S
+    pause_s: float = FIRST_EJECTION_S
     ejected_until: float = 0
     trials: int = 0
 
@@ -87,9 +87,9 @@
     def __init__(
         self,
         clock: Clock,
-        failures: int = FAILURES,
-        first_pause_s: float = FIRST_PAUSE_S,
-        max_pause_s: float = MAX_PAUSE_S,
+        failures: int = FAILURES_TO_EJECT,
+        first_pause_s: float = FIRST_EJECTION_S,
+        max_pause_s: float = MAX_EJECTION_S,
     ) -> None:
         """Create a detector that has ejected no replica.
 
@@ -111,7 +111,7 @@
         a queue: a long queue means much work and not a bad replica. Plain
         services have no pace; it is 0 for them.
         """
-        old = self._health.get(key, self._unknown())
+        old = self._health.get(key, self._new_health())
         health = old._replace(
             failures=0,
             pace_s=pace_s,
@@ -123,7 +123,7 @@
                 pause_s=self._first_pause_s,
                 ejected_until=0,
             )
-        self._keep(key, health)
+        self._store_health(key, health)
         if health.samples >= MIN_SAMPLES and self._is_slow(key):
             self._eject(key)
 
@@ -132,8 +132,8 @@
 
         A certain failure or a failed trial request ejects the replica at once.
         """
-        old = self._health.get(key, self._unknown())
-        self._keep(key, old._replace(failures=old.failures + 1))
+        old = self._health.get(key, self._new_health())
+        self._store_health(key, old._replace(failures=old.failures + 1))
         if certain or old.trials or old.failures + 1 >= self._failures:
             self._eject(key)
 
@@ -143,29 +143,29 @@
 
     def allowed(self, keys: Iterable[str]) -> set[str]:
         """Return those of ``keys`` that may be chosen now."""
-        known = set(keys)
-        out = {key for key in known if self._is_out(key)}
-        bound = int(len(known) * MAX_SHARE)
-        # If more than MAX_SHARE of the replicas are ejected, those whose
-        # ejection ends first are allowed nevertheless.
+        given = set(keys)
+        ejected = {key for key in given if self._is_ejected(key)}
+        max_ejected = int(len(given) * MAX_EJECTED_SHARE)
+        # If more than MAX_EJECTED_SHARE of the replicas are ejected, those
+        # whose ejection ends first are allowed nevertheless.
         by_return = sorted(
-            out,
+            ejected,
             key=lambda key: self._health[key].ejected_until,
         )
-        spared = by_return[: max(0, len(out) - bound)]
-        return known - out | set(spared)
+        readmitted = by_return[: max(0, len(ejected) - max_ejected)]
+        return given - ejected | set(readmitted)
 
-    def _unknown(self) -> Health:
+    def _new_health(self) -> Health:
         return Health(pause_s=self._first_pause_s)
 
-    def _keep(self, key: str, health: Health) -> None:
+    def _store_health(self, key: str, health: Health) -> None:
         self._health[key] = health
         self._health.move_to_end(key)
         if len(self._health) > MAX_TRACKED:
             # The least recently updated replica has probably ended long ago.
             self._health.popitem(last=False)
 
-    def _is_out(self, key: str) -> bool:
+    def _is_ejected(self, key: str) -> bool:
         health = self._health.get(key)
         if health is None:
             return False
@@ -196,7 +196,7 @@
             failures=0,
             pace_s=0,
             samples=0,
-            trials=TRIALS,
+            trials=TRIAL_REQUESTS,
             ejected_until=self._clock.monotonic() + old.pause_s,
             pause_s=min(self._max_pause_s, old.pause_s * 2),
         )
--- a/cactusridge/routing/pickers.py
+++ b/cactusridge/routing/pickers.py
@@ -11,7 +11,7 @@
 from cactusridge.routing.candidates import Candidate, PickRequest, load_of
 
 AFFINITY_REQUESTS = 1
-DRAWN = 4
+SAMPLE_SIZE = 4
 
 
 class ReplicaPicker(abc.ABC):
@@ -59,23 +59,23 @@
         request: PickRequest,
     ) -> Candidate:
         """Return the least loaded of the candidates drawn."""
-        return self._least_loaded(self._zone_first(candidates, request.zone))
+        return self._least_loaded(self._prefer_zone(candidates, request.zone))
 
-    def _zone_first(
+    def _prefer_zone(
         self,
         candidates: Sequence[Candidate],
         zone: str,
     ) -> Sequence[Candidate]:
-        near = [each for each in candidates if each.zone == zone]
-        far = [each for each in candidates if each.zone != zone]
-        if not near or not far:
+        same_zone = [each for each in candidates if each.zone == zone]
+        other_zones = [each for each in candidates if each.zone != zone]
+        if not same_zone or not other_zones:
             return candidates
-        least_near = min(map(load_of, near))
-        least_far = min(map(load_of, far))
-        return near if least_near <= least_far else candidates
+        least_in_zone = min(map(load_of, same_zone))
+        least_elsewhere = min(map(load_of, other_zones))
+        return same_zone if least_in_zone <= least_elsewhere else candidates
 
     def _least_loaded(self, candidates: Sequence[Candidate]) -> Candidate:
-        drawn = self._rng.sample(candidates, min(DRAWN, len(candidates)))
+        drawn = self._rng.sample(candidates, min(SAMPLE_SIZE, len(candidates)))
         return min(drawn, key=load_of)
 
 
@@ -102,7 +102,7 @@
         bound = loads[least.key] + AFFINITY_REQUESTS / max(1, least.limit)
         ranked = sorted(
             candidates,
-            key=lambda each: _weight(request.prefix, each.key),
+            key=lambda each: _prefix_rank(request.prefix, each.key),
         )
         all_full = loads[least.key] >= 1
         for candidate in ranked:
@@ -114,5 +114,5 @@
         return super().pick(candidates, request)
 
 
-def _weight(prefix: bytes, key: str) -> int:
+def _prefix_rank(prefix: bytes, key: str) -> int:
     return hash64(key, xxhash.xxh64_intdigest(prefix))
--- a/cactusridge/routing/retry_budget.py
+++ b/cactusridge/routing/retry_budget.py
@@ -3,7 +3,7 @@
 import abc
 from typing import ClassVar
 
-START_TOKENS = 3
+INITIAL_TOKENS = 3
 MAX_TOKENS = 50
 
 
@@ -44,7 +44,7 @@
     def __init__(self, share: float) -> None:
         """Allow ``share`` retries for each request in the long run."""
         self._share = share
-        self._tokens = float(START_TOKENS)
+        self._tokens = float(INITIAL_TOKENS)
 
     def request(self) -> None:
         """Add the tokens of a new request."""
--- a/cactusridge/routing/subset.py
+++ b/cactusridge/routing/subset.py
@@ -21,6 +21,6 @@
     if len(replicas) <= size:
         return sorted(replicas)
     ring = sorted(replicas, key=hash64)
-    order = sorted({*entries, entry}, key=hash64)
-    start = order.index(entry) * len(ring) // len(order)
+    ranked_entries = sorted({*entries, entry}, key=hash64)
+    start = ranked_entries.index(entry) * len(ring) // len(ranked_entries)
     return [ring[(start + step) % len(ring)] for step in range(size)]
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -20,7 +20,7 @@
 from cactusridge.peers.cell_rules import ByZone, OneCell
 from cactusridge.peers.load import Load
 from cactusridge.quarantine.policies import RULES
-from cactusridge.quarantine.rules import ByCrashes, HoldNothing
+from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
 from cactusridge.routing.outliers import OutlierEjector, TrustAll
 from cactusridge.startup.models import DirectPolicy
 
@@ -33,7 +33,7 @@
     'items': (OnTimeFirst, DueFirst),
     'claims': (ToldClaims, NoClaims),
     'cells': (ByZone, OneCell),
-    'quarantine': (ByCrashes, HoldNothing),
+    'quarantine': (ByCrashes, NoQuarantine),
     'limits': (HomeLimits, FixedShares),
 }
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,12 +7,12 @@
 from cactusridge.clock import ManualClock
 from cactusridge.errors import Quarantined
 from cactusridge.quarantine.fingerprint import fingerprint_of
-from cactusridge.quarantine.rules import ByCrashes, HoldNothing
+from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
 from cactusridge.quarantine.strike import Stage, Strike
 from cactusridge.quarantine.strike_book import (
-    BACK_S,
     MAX_REQUESTS,
-    STRIKE_LASTS_S,
+    MIN_RESTART_S,
+    STRIKE_LIFETIME_S,
     StrikeBook,
 )
 from cactusridge.quarantine.strike_listener import StrikeListener
@@ -35,11 +35,11 @@
         self.strikes = []
         self.pairs = []
 
-    def struck(self, strikes) -> None:
+    def publish_strikes(self, strikes) -> None:
         """Keep the strikes against a request."""
         self.strikes.append([each.pair for each in strikes])
 
-    def withdrawn(self, pairs) -> None:
+    def publish_withdrawals(self, pairs) -> None:
         """Keep strikes that are taken back."""
         self.pairs.extend(pairs)
 
@@ -90,8 +90,8 @@
         for fingerprint, lives, stage in noted:
             found = strikes.setdefault(fingerprint, {})
             found |= {life: strike(fingerprint, life, stage) for life in lives}
-        self.assertEqual(frozenset(wanted), ByCrashes().held(strikes))
-        self.assertEqual(frozenset(), HoldNothing().held(strikes))
+        self.assertEqual(frozenset(wanted), ByCrashes().quarantined(strikes))
+        self.assertEqual(frozenset(), NoQuarantine().quarantined(strikes))
 
 
 class TestBook(unittest.TestCase):
@@ -109,24 +109,24 @@
     def test_same_life_counts_once(self):
         """However often it is heard of."""
         self.assertEqual([True, False, True], self.add('112'))
-        self.assertEqual(frozenset(), self.book.held())
+        self.assertEqual(frozenset(), self.book.quarantined())
 
     def test_withdrawn_stays_so(self):
         """A peer that tells of it again does not bring it back."""
         self.add('123')
-        self.assertEqual(frozenset('a'), self.book.held())
+        self.assertEqual(frozenset('a'), self.book.quarantined())
         self.book.withdraw([('a', '1'), ('a', '9')])
-        self.assertEqual(frozenset(), self.book.held())
+        self.assertEqual(frozenset(), self.book.quarantined())
         self.assertEqual([False, False], self.add('19'))
 
     def test_old_ones_count_no_more(self):
         """A request is held back until its strikes are over."""
         self.add('123')
-        self.assertEqual(STRIKE_LASTS_S, self.book.held_for_s('a'))
-        self.clock.advance(STRIKE_LASTS_S - 1)
-        self.assertEqual(frozenset('a'), self.book.held())
+        self.assertEqual(STRIKE_LIFETIME_S, self.book.min_remaining_s('a'))
+        self.clock.advance(STRIKE_LIFETIME_S - 1)
+        self.assertEqual(frozenset('a'), self.book.quarantined())
         self.clock.advance(1)
-        self.assertEqual(frozenset(), self.book.held())
+        self.assertEqual(frozenset(), self.book.quarantined())
         self.assertEqual([False], self.add('4'))
 
     def test_bounded(self):
@@ -172,14 +172,14 @@
 
     def test_heard_strikes_are_not_told_again(self):
         """A peer's strikes count and go no further."""
-        self.suspects.hear([strike('a', life) for life in '123'])
+        self.suspects.add_strikes([strike('a', life) for life in '123'])
         self.assertTrue(self.suspects.is_held('a'))
         self.assertEqual([], self.told.strikes)
 
     @params(
         (2.9, 0.5, True),
         (3.1, 0.5, False),
-        (3.1, BACK_S, True),
+        (3.1, MIN_RESTART_S, True),
     )
     def test_replica_that_answers_has_not_crashed(self, sent_at, later, held):
         """Unless it was asked before, or may have come back since."""
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -77,11 +77,11 @@
         """Be told nothing yet."""
         self.noted = []
 
-    def struck(self, strikes):
+    def publish_strikes(self, strikes):
         """Keep the stage of the last strike."""
         self.noted.append(strikes[-1].stage)
 
-    def withdrawn(self, pairs):
+    def publish_withdrawals(self, pairs):
         """Nothing is taken back here."""
         raise AssertionError(pairs)
 
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -9,7 +9,7 @@
 from cactusridge.clock import ManualClock
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage, Strike
-from cactusridge.quarantine.strike_book import STRIKE_LASTS_S
+from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_store import StrikeStore
 from cactusridge.quarantine.suspects import Suspects
 from cactusridge.store.listeners import ListenersByPrefix
@@ -114,7 +114,7 @@
         """By whoever reads them."""
         self.one.crash('12')
         self.wait_rows(2)
-        self.clock.advance(STRIKE_LASTS_S)
+        self.clock.advance(STRIKE_LIFETIME_S)
         self.one.read()
         self.wait_rows(0)
 
@@ -180,7 +180,7 @@
         self.addCleanup(entry.writer.kill)
         lives = ('x' * 214, 'y' * 214)
         long = [Strike('a' * 32, life, Stage.begun, 1) for life in lives]
-        entry.store.struck(long)
+        entry.store.publish_strikes(long)
         wait_for('rows', lambda: len(table.scan(PREFIX, Priority.commit)) == 2)
         keys = [row.key for row in table.scan(PREFIX, Priority.commit)]
         self.assertLess(max(map(len, keys)), 100)
