--- a/cactusridge/peers/audience.py
+++ b/cactusridge/peers/audience.py
@@ -40,7 +40,7 @@
         listed: Callable[[], Iterable[Target]],
         sharing: BatchSharing,
     ) -> None:
-        """Create an audience for the entry at ``me``.
+        """Create an audience for the entry at ``own_address``.
 
         ``listed`` returns the peers in the membership list.
         """
@@ -61,7 +61,7 @@
 
     def local_peers(self) -> set[Target]:
         """Return the peers in the local cell and those assigned to no cell."""
-        local_peers = {_target(name) for name in self._cells.local_entries()}
+        local_peers = {_target(name) for name in self._cells.local_names()}
         return (local_peers | self._in_no_cell()) - {self._own_address}
 
     def groups(
@@ -74,7 +74,7 @@
         ``lives`` are incarnation keys. The counts of a replica go to the
         entries of its cell, to the entries that may run batch there, to peers
         that report in-flight requests there, and to the peers in no cell. Each
-        peer is in one group. Peers in ``anyway`` are included even if no count
+        peer is in one group. Peers in ``always`` are included even if no count
         goes to them.
         """
         by_target: dict[Target, list[str]] = {target: [] for target in always}
@@ -90,7 +90,7 @@
     def offers(self) -> Iterator[tuple[Target, CellOffer]]:
         """Yield the offer for each remote entry that this entry serves."""
         local_replicas = tuple(self._cells.local_replicas())
-        entries = len(self._cells.remote_entries())
+        entries = len(self._cells.remote_names())
         for name in self._cells.offer_recipients(self._loads.current_peers()):
             shares = {
                 each.life: self._share(each, name, entries)
--- a/cactusridge/peers/cells.py
+++ b/cactusridge/peers/cells.py
@@ -109,11 +109,11 @@
         """Return all entries; the same tuple object until they change."""
         return self._current().entries
 
-    def local_entries(self) -> frozenset[str]:
+    def local_names(self) -> frozenset[str]:
         """Return the names of the entries in the local cell, with this one."""
         return self._names_in(self.own)
 
-    def remote_entries(self) -> tuple[str, ...]:
+    def remote_names(self) -> tuple[str, ...]:
         """Return the names of the entries in all other cells."""
         own = self.own
         cells = self._current().cells
@@ -175,8 +175,8 @@
         Rendezvous hashing assigns each remote entry to one live entry of the
         local cell. ``heard`` are the peers whose counts are current.
         """
-        living = (self.local_entries() & set(heard)) | {self.name}
-        for name in self.remote_entries():
+        living = (self.local_names() & set(heard)) | {self.name}
+        for name in self.remote_names():
             if rendezvous(living, hash64(name))[0] == self.name:
                 yield name
 
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -197,13 +197,13 @@
 
     def _receive(self) -> None:
         try:
-            self._handle_datagram(*self._sock.receive())
+            self._handle(*self._sock.receive())
         except OSError as exc:
             logs.emit(events.PEER_UNREADABLE, error=repr(exc))
         except (ValueError, TypeError, AttributeError) as unreadable:
             logs.emit(events.PEER_UNREADABLE, error=repr(unreadable))
 
-    def _handle_datagram(self, raw: bytes, sender: Target) -> None:
+    def _handle(self, raw: bytes, sender: Target) -> None:
         message = orjson.loads(raw)
         for subject, version in message.get(ANNOUNCED, {}).items():
             if self._on_news is not None:
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -1,4 +1,4 @@
-"""One entry of a burst that is played without a network."""
+"""One entry of a simulated burst without a network."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -22,14 +22,14 @@
 from cactusridge.startup.models import DirectPolicy
 from tests.cells_play import SERVICE
 
-# How long a request holds a slot on average, and the longest wait for one
-# that is on time, in seconds.
+# Mean time that a request holds a slot, and the longest wait for a slot of a
+# request that is on time, in seconds.
 HOLD_S = 0.6
 AIM_S = 0.3
 
 
 class Entry:
-    """One entry of the play."""
+    """One entry of the simulation."""
 
     def __init__(
         self,
@@ -38,9 +38,12 @@
         rule: CellRule,
         placing: Placing,
     ) -> None:
-        """Know all entries and replicas of ``play``, a BurstPlay."""
+        """Create an entry that knows all entries and replicas of ``play``.
+
+        ``play`` is a BurstPlay.
+        """
         self.zone = place.zone
-        self.heard = 0
+        self.received = 0
         self.loads = LoadTable(play.clock)
         self._play = play
         self.address = parse_address(place.name)
@@ -78,7 +81,7 @@
         self.exchange._audience._rng = play.rng
 
     def choose(self):
-        """Return the replica for one request; raise Overloaded."""
+        """Return the replica for one request; raises Overloaded."""
         share = SimpleNamespace(service=SERVICE, weight=1)
         route = SimpleNamespace(
             shares=[share],
@@ -89,13 +92,13 @@
         call = SimpleNamespace(route=route, deadline_at=deadline_at)
         return self._attempts.choose(call, Progress())
 
-    def send(self, targets, said):
-        """Deliver what the exchange tells; stands in for its socket."""
-        raw = orjson.dumps(said)
+    def send(self, targets, message):
+        """Deliver a message of the exchange, in place of its socket."""
+        raw = orjson.dumps(message)
         for target in targets:
-            self._play.entries[target].take(raw, self.address)
+            self._play.entries[target].receive(raw, self.address)
 
-    def take(self, raw, sender):
-        """Hear one datagram."""
-        self.heard += 1
-        self.exchange._handle_datagram(raw, sender)
+    def receive(self, raw, sender):
+        """Receive one datagram."""
+        self.received += 1
+        self.exchange._handle(raw, sender)
--- a/tests/burst_play.py
+++ b/tests/burst_play.py
@@ -1,7 +1,7 @@
-"""A burst of online requests played against a whole fleet, without a network.
+"""Simulates a burst of online requests on a whole fleet without a network.
 
-Every entry has its own counts, cells, exchange and choice of replicas, as
-in a process; datagrams arrive at once. Time is played.
+Every entry has its own counts, cells, exchange and selection of replicas, as
+in a process. Datagrams arrive without delay, and time is simulated.
 """
 
 import collections
@@ -22,12 +22,12 @@
 
 TURN_S = 0.1
 FIRST_TURNS = 5
-# How the names of replicas begin that are added.
+# Name prefix of the replicas that are added.
 NEW = 'new'
 
 
 class Fleet(NamedTuple):
-    """So many entries and replicas in so many availability zones."""
+    """Numbers of entries, replicas and availability zones."""
 
     entries: int
     replicas: int
@@ -35,10 +35,10 @@
 
 
 class Newcomers(NamedTuple):
-    """Replicas that are added ``after_s``, empty and slow for a while.
+    """Replicas that are added ``after_s`` seconds, empty and slow at first.
 
-    A request holds a slot of theirs ``slower`` times as long for
-    ``cold_s`` seconds.
+    A request holds one of their slots ``slower`` times as long during the
+    first ``cold_s`` seconds.
     """
 
     count: int
@@ -48,9 +48,10 @@
 
 
 class Outcome(NamedTuple):
-    """What callers got, and how many datagrams each entry heard.
+    """Results of the requests, and the datagrams received per entry and second.
 
-    ``abroad`` went to another availability zone, ``new`` to newcomers.
+    ``abroad`` counts the requests sent to another availability zone, ``new``
+    those sent to added replicas.
     """
 
     asked: int
@@ -58,11 +59,11 @@
     refused: int
     abroad: int
     new: int
-    heard: float
+    received: float
 
 
 class BurstPlay:
-    """A fleet under so many requests a second for some seconds."""
+    """A fleet that receives a number of requests per second for some time."""
 
     def __init__(
         self,
@@ -71,7 +72,7 @@
         placing: Placing,
         seed: int,
     ) -> None:
-        """Build every entry; nothing has been asked yet."""
+        """Create every entry, without any request."""
         self.clock = ManualClock(1)
         self.rng = random.Random(seed)
         self.fleet = FleetView()
@@ -89,11 +90,11 @@
         self._warm_at = float(0)
 
     def addresses(self):
-        """Return where all entries are reached."""
+        """Return the addresses of all entries."""
         return list(self.entries)
 
     def grow(self, added: Newcomers, zones: int) -> None:
-        """Let replicas come while requests are asked for."""
+        """Add replicas while requests arrive."""
         self._added = added
         in_s = FIRST_TURNS * TURN_S + added.after_s
         self._warm_at = self.clock.now + in_s + added.cold_s
@@ -107,7 +108,7 @@
         )
 
     def ask(self, per_s: float, for_s: float) -> Outcome:
-        """Play ``per_s`` requests a second; return what callers got."""
+        """Simulate ``per_s`` requests a second; return the results."""
         begun_at = self.clock.now
         for entry in self.entries.values():
             self._at(self.rng.uniform(0, TURN_S), self._turn, entry, 0)
@@ -120,14 +121,14 @@
             at, _, action, args = heapq.heappop(self._todo)
             self.clock.advance(max(0, at - self.clock.now))
             action(*args)
-        heard = sum(entry.heard for entry in self.entries.values())
+        received = sum(entry.received for entry in self.entries.values())
         return Outcome(
             self._counts['asked'],
             self._counts['late'],
             self._counts['refused'],
             self._counts['abroad'],
             self._counts['new'],
-            heard / len(self.entries) / for_s,
+            received / len(self.entries) / for_s,
         )
 
     def _at(self, in_s, action, *args):
@@ -151,7 +152,7 @@
         self._counts['abroad'] += replica.zone != entry.zone
         running = entry.loads.running(replica.life, WorkKind.online)
         running.__enter__()
-        # When each slot of the replica comes free.
+        # The times at which the used slots of the replica become free.
         free = self._queues[replica.life]
         now = self.clock.now
         starts = now if len(free) < replica.slots else heapq.heappop(free)
--- a/tests/cells_play.py
+++ b/tests/cells_play.py
@@ -14,12 +14,12 @@
 
 
 def places(*names: str, zone: str = ZONE) -> tuple[EntryPlace, ...]:
-    """Return entries of one availability zone."""
+    """Return entries with these names in one availability zone."""
     return tuple(sorted(EntryPlace(name, zone) for name in names))
 
 
 def spread(count: int, zones: int) -> tuple[EntryPlace, ...]:
-    """Return ``count`` entries, in turn in each of ``zones``."""
+    """Return ``count`` entries, distributed in turn over ``zones`` zones."""
     return tuple(
         sorted(
             EntryPlace(f'10.0.{number // 250}.{number % 250}:1', zone_of(each))
@@ -29,7 +29,7 @@
 
 
 def zone_of(number: int) -> str:
-    """Return the name of an availability zone."""
+    """Return the name of the availability zone with this number."""
     return f'z{number}'
 
 
@@ -39,7 +39,7 @@
     zones: int = 1,
     prefix: str = 'i',
 ) -> None:
-    """Let there be ``count`` replicas, in turn in each of ``zones``."""
+    """Add ``count`` replicas, distributed in turn over ``zones`` zones."""
     for number in range(count):
         zone = zone_of(number % zones) if zones > 1 else ZONE
         name = f'{prefix}-{number}'
@@ -54,7 +54,10 @@
     clock: Clock | None = None,
     rule: CellRule | None = None,
 ) -> Cells:
-    """Return the cells as ``name`` sees them, or the first of ``entries``."""
+    """Return the cells as computed by the entry ``name``.
+
+    The default is the first of ``entries``.
+    """
     return Cells(
         name or entries[0].name,
         fleet or FleetView(),
--- a/tests/crash_case.py
+++ b/tests/crash_case.py
@@ -1,4 +1,4 @@
-"""A test case with replicas that requests crash, and a caller that repeats."""
+"""A test case with replicas that requests crash and a repeating caller."""
 
 import itertools
 import socket
@@ -9,7 +9,8 @@
 from tests.machine_case import MachineCase
 
 CRASHES = 3
-# Repeats that may still run once the entries can know of the third crash.
+# Repeats that may still run after all entries can have received the third
+# strike.
 RETRIES = 3
 CONTACT_S = 3.0
 REPEATS = 8
@@ -20,12 +21,12 @@
 
 
 class CrashCase(MachineCase):
-    """Some replicas, and a caller that brings the same request again."""
+    """A site with replicas and a caller that repeats the same request."""
 
     replicas = 5
 
     def setUp(self):
-        """Number the attempts."""
+        """Start the numbering of attempts."""
         super().setUp()
         self._numbers = itertools.count()
 
@@ -37,7 +38,10 @@
         source: str = '127.0.0.1',
         deadline_ms: int = 4000,
     ) -> int:
-        """Send a request as a new attempt, to one entry after the other."""
+        """Send a request as a new attempt and return the status.
+
+        Without ``entry``, attempts go to the entries in turn.
+        """
         number = next(self._numbers)
         names = self.entries
         name = entry or names[number % len(names)]
@@ -48,7 +52,7 @@
         return self.site.call(name, 'POST', target, body, sent, source)[0]
 
     def leave(self, target: str, body: bytes) -> None:
-        """Send a request and close the connection after a moment."""
+        """Send a request and close the connection after LEAVES_AFTER_S."""
         number = next(self._numbers)
         name = self.entries[number % len(self.entries)]
         head = (
@@ -61,22 +65,22 @@
             gevent.sleep(LEAVES_AFTER_S)
 
     def crashes(self) -> list[float]:
-        """Return when replicas crashed, in order."""
+        """Return the times of all crashes of replicas, in order."""
         found = (each.crashed for each in self.site.replicas)
         return sorted(itertools.chain.from_iterable(found))
 
     def forget_crashes(self) -> None:
-        """Count crashes from now on."""
+        """Reset the recorded crashes."""
         for replica in self.site.replicas:
             replica.crashed.clear()
 
     def bring_to_crash(self, target: str, body: bytes) -> None:
-        """Bring a request until it has crashed three replicas."""
+        """Repeat a request until it has crashed three replicas."""
         while len(self.crashes()) < CRASHES:
             self.bring(target, body)
 
     def check_budget(self) -> None:
-        """Check how many crashes came once the third could be known."""
+        """Check that few crashes follow once all entries can know the third."""
         crashes = self.crashes()
         known_at = crashes[CRASHES - 1] + CONTACT_S
         late = [at for at in crashes if at > known_at]
--- a/tests/exchange_play.py
+++ b/tests/exchange_play.py
@@ -1,4 +1,4 @@
-"""An exchange between entries for tests."""
+"""Creates an exchange between entries for tests."""
 
 from cactusridge.peers.audience import Audience
 from cactusridge.peers.exchange import PeerExchange
@@ -6,7 +6,7 @@
 
 
 def exchange_of(sock, loads, addresses, sharing):
-    """Return an exchange with the entries at ``addresses``."""
+    """Return an exchange whose peers are the entries at ``addresses``."""
     return PeerExchange(
         sock,
         loads,
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -1,4 +1,4 @@
-"""Plays what happens to a list of replicas to both of its readers."""
+"""Plays changes of a list of replicas to the reader and a naive model."""
 
 from cactusridge import wire
 from cactusridge.fleet.life_listener import LifeListener
@@ -11,22 +11,22 @@
 
 
 class Ends(LifeListener):
-    """Keeps the lives that have ended."""
+    """Records the incarnations that have ended."""
 
     def __init__(self):
-        """Start with none."""
+        """Create a listener without records."""
         self.lives = []
 
     def life_ended(self, life):
-        """Keep it."""
+        """Record the incarnation."""
         self.lives.append(life)
 
 
 class Play(DiscoveryCase):
-    """Plays steps at a store, its reader and the naive one."""
+    """Plays steps to a store, its reader and the naive model."""
 
     def runTest(self):  # noqa: N802
-        """There is none of its own."""
+        """Do nothing; the steps are the test."""
 
     def begin(self):
         """Start with an empty list."""
@@ -34,13 +34,14 @@
         self.naive = NaiveList(LAPSED_GRACE_S)
         self.ends = Ends()
         self.fleet.on_life_end(self.ends)
-        # By id: the version and what is there, None once removed.
+        # The version and the payload of each row by replica id; the payload of
+        # a removed row is None.
         self.store = {}
         self.history = []
-        self.unheard = {}
+        self.pending = {}
 
     def play(self, todo):
-        """Play the steps; compare after each."""
+        """Play the steps, and compare both readers after each."""
         self.begin()
         try:
             for name, *rest in todo:
@@ -49,83 +50,83 @@
         finally:
             self.doCleanups()
 
-    def write(self, replica_id, held):
-        """Write an entry, spoil it, or remove it."""
+    def write(self, replica_id, payload):
+        """Write an entry, write an unreadable one, or remove it."""
         self.version += 1
-        self.store[replica_id] = (self.version, held)
-        self.unheard.pop(replica_id, None)
-        self.unheard[replica_id] = self.store[replica_id]
+        self.store[replica_id] = (self.version, payload)
+        self.pending.pop(replica_id, None)
+        self.pending[replica_id] = self.store[replica_id]
         self.history.append((replica_id, self.store[replica_id]))
 
     def feed(self):
-        """Let the reader hear of what has changed."""
-        for replica_id, (version, held) in self.unheard.items():
-            self.tell(replica_id, version, held)
-        self.unheard = {}
+        """Deliver all pending changes to the reader."""
+        for replica_id, (version, payload) in self.pending.items():
+            self.tell(replica_id, version, payload)
+        self.pending = {}
 
     def whole(self):
-        """Let the reader read everything."""
+        """Let the reader read all rows."""
         there = {
             replica_id: row
             for replica_id, row in self.store.items()
             if row[1] is not None
         }
         self.list.keep_only({f'{PREFIX}{each}' for each in there})
-        for replica_id, (version, held) in there.items():
-            self.list.put(self.row(replica_id, version, held))
+        for replica_id, (version, payload) in there.items():
+            self.list.put(self.row(replica_id, version, payload))
         self.naive.whole(
             {
-                replica_id: held if isinstance(held, Entry) else None
-                for replica_id, (_, held) in there.items()
+                replica_id: payload if isinstance(payload, Entry) else None
+                for replica_id, (_, payload) in there.items()
             },
         )
-        self.unheard = {}
+        self.pending = {}
 
     def late(self, number):
-        """Let the reader hear of an old row once more."""
+        """Deliver an old row to the reader again."""
         if self.history:
             replica_id, row = self.history[number % len(self.history)]
             self.tell(replica_id, *row)
 
     def away(self):
-        """Let the store be back after an outage."""
-        self.unheard = {}
+        """End an outage of the store."""
+        self.pending = {}
         self.list.regained(self.clock.monotonic())
         self.naive.regained()
         self.whole()
 
     def wait(self, passed_s):
-        """Let time pass."""
+        """Advance the time."""
         self.advance(passed_s)
         self.naive.advance(passed_s)
 
-    def tell(self, replica_id, version, held):
-        """Tell both readers of one row."""
-        self.list.put(self.row(replica_id, version, held))
-        if held is None:
+    def tell(self, replica_id, version, payload):
+        """Deliver one row to both readers."""
+        self.list.put(self.row(replica_id, version, payload))
+        if payload is None:
             self.naive.remove(replica_id)
         else:
-            entry = held if isinstance(held, Entry) else None
+            entry = payload if isinstance(payload, Entry) else None
             self.naive.put(replica_id, entry)
 
-    def row(self, replica_id, version, held):
-        """Return a row as the reader of rows has it."""
+    def row(self, replica_id, version, payload):
+        """Return a row as the reader of rows receives it."""
         key = f'{PREFIX}{replica_id}'
-        if held is None:
+        if payload is None:
             return Row(key, None, version)
-        if not isinstance(held, Entry):
-            return row_of(SPOILED[held](UNTOLD), key, version)
-        said = {
+        if not isinstance(payload, Entry):
+            return row_of(SPOILED[payload](UNTOLD), key, version)
+        fields = {
             **UNTOLD,
-            'state': held.state,
-            'address': f'127.0.0.1:{held.port}',
+            'state': payload.state,
+            'address': f'127.0.0.1:{payload.port}',
         }
-        if held.born is not None:
-            said['born'] = BORN + held.born
-        return row_of(wire.encode(said), key, version)
+        if payload.born is not None:
+            fields['born'] = BORN + payload.born
+        return row_of(wire.encode(fields), key, version)
 
     def compare(self):
-        """Both readers have to use the same replicas and lives."""
+        """Check that both readers use the same replicas and incarnations."""
         found = {
             (each.id, each.born and each.born - BORN, each.address.port)
             for each in self.fleet.ready('model')
--- a/tests/test_batch_sharing.py
+++ b/tests/test_batch_sharing.py
@@ -1,4 +1,4 @@
-"""Which entries run batch at which replicas."""
+"""Tests which entries run batch at which replicas."""
 
 import unittest
 from collections import Counter
@@ -18,10 +18,10 @@
 
 
 class TestBatchSharing(unittest.TestCase):
-    """Few at each replica, and some replicas for each entry."""
+    """Each replica has few sharers, and each entry some replicas."""
 
     def setUp(self):
-        """Start with nobody."""
+        """Create a fleet without entries and replicas."""
         self.clock = ManualClock()
         self.fleet = FleetView()
         self.entries = ()
@@ -35,19 +35,19 @@
         self.sharing = BatchSharing(self.fleet, cells)
 
     def grow(self, entries, replicas):
-        """Let there be so many entries and replicas."""
+        """Create this many entries and replicas."""
         self.entries = tuple(f'10.0.0.{number}:1' for number in range(entries))
         put_replicas(self.fleet, replicas)
 
     @params((9, 9), (10, 1), (1, 5))
     def test_all_of_a_small_fleet(self, entries, replicas):
-        """In a small fleet every entry runs batch everywhere."""
+        """In a small fleet every entry runs batch at every replica."""
         self.grow(entries, replicas)
         self.assertEqual(set(self.entries), self.sharing.of('i-0'))
 
     @params((31, 21), (36, 25), (300, 300))
     def test_few_of_a_large_fleet(self, entries, replicas):
-        """A replica has few sharers, an entry some replicas."""
+        """A replica has few sharers, and an entry shares some replicas."""
         self.grow(entries, replicas)
         found = [self.sharing.of(key) for key in self.fleet.ids()]
         self.assertEqual({SHARERS + FAR_SHARERS}, set(map(len, found)))
@@ -62,7 +62,7 @@
         self.assertGreaterEqual(mean, LEAST_REPLICAS)
 
     def test_a_lost_entry(self):
-        """An entry that goes is replaced; the other sharers stay."""
+        """An entry that leaves is replaced; the other sharers stay."""
         self.grow(31, 21)
         before = self.sharing.of('i-0')
         lost = min(before)
@@ -72,7 +72,7 @@
         self.assertEqual(SHARERS + FAR_SHARERS, len(self.sharing.of('i-0')))
 
     def test_some_of_other_cells(self):
-        """Most sharers are of the replica's cell, a few of the others."""
+        """Most sharers are in the replica's cell, a few in other cells."""
         self.grow(60, 40)
         for replica in self.fleet.ready(SERVICE):
             near = self.sharing.cells.entries_of_replica(replica.life)
--- a/tests/test_burst_play.py
+++ b/tests/test_burst_play.py
@@ -79,14 +79,14 @@
         naive = play(LARGE, 0.95, OneCell(), LeastOnline())
         missed = ours.late + ours.refused - naive.late - naive.refused
         self.assertLess(missed, ours.asked / 40)
-        self.assertLess(ours.heard, naive.heard / 3)
+        self.assertLess(ours.received, naive.received / 3)
         self.assertLess(ours.abroad, ours.asked / 10)
 
     def test_heard_in_larger_fleets(self):
         """What an entry hears does not grow with the entries."""
         small = play(Fleet(120, 80, 6), 0.3, ByZone(), LeastOnline())
         large = play(Fleet(240, 160, 12), 0.3, ByZone(), LeastOnline())
-        self.assertLess(large.heard, small.heard * 1.2)
+        self.assertLess(large.received, small.received * 1.2)
 
     @params(1.2, 2, 5)
     def test_overload(self, share):
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Who belongs together in a large fleet."""
+"""Tests the division of a large fleet into cells."""
 
 import unittest
 from collections import Counter
@@ -28,11 +28,11 @@
 
 
 class TestDivision(unittest.TestCase):
-    """Entries and replicas in cells."""
+    """The cells of entries and replicas."""
 
     @params((MAX_ENTRIES, 6, 1), (88, 6, 6), (300, 6, 18), (60, 1, 3))
     def test_of_entries(self, entries, zones, wanted):
-        """A small fleet is one cell; large ones are cells of a zone."""
+        """A small fleet is one cell; in a large one each zone has cells."""
         found = ByZone().of_entries(spread(entries, zones))
         sizes = Counter(found.values())
         self.assertEqual(wanted, len(sizes))
@@ -42,7 +42,10 @@
 
     @params((88, 59, 6), (300, 200, 6), (44, 30, 3))
     def test_of_replicas(self, entries, replicas, zones):
-        """Each replica has one cell, of its own zone, found alike by all."""
+        """Each replica has one cell, which is in its zone.
+
+        All entries compute the same cells.
+        """
         fleet = FleetView()
         put_replicas(fleet, replicas, zones)
         all_entries = spread(entries, zones)
@@ -59,7 +62,7 @@
         self.assertLessEqual(max(sizes) - min(sizes), 2)
 
     def test_a_zone_without_entries(self):
-        """Its replicas belong to the cells of the others."""
+        """Replicas in a zone without entries belong to cells of other zones."""
         fleet = FleetView()
         put_replicas(fleet, 30, 3)
         cells = cells_of(spread(40, 2), fleet)
@@ -76,7 +79,7 @@
         self.assertEqual(frozenset(), cells.entries_of_replica('i-0'))
 
     def test_naive(self):
-        """Without a division everybody is told of everything."""
+        """Without a division all entries receive every count."""
         fleet = FleetView()
         put_replicas(fleet, 59, 6)
         cells = cells_of(spread(88, 6), fleet, rule=OneCell())
@@ -88,10 +91,10 @@
 
 
 class TestCells(unittest.TestCase):
-    """What one entry finds."""
+    """The cells as one entry computes them."""
 
     def setUp(self):
-        """Be an entry of 88 in six zones, before 59 replicas."""
+        """Create an entry of 88 in six availability zones, with 59 replicas."""
         self.clock = ManualClock()
         self.fleet = FleetView()
         put_replicas(self.fleet, 59, 6)
@@ -105,42 +108,45 @@
         )
 
     def test_near_and_far(self):
-        """Everybody is one or the other; all cells are told."""
-        near, far = self.cells.local_entries(), set(self.cells.remote_entries())
+        """Every entry is either local or remote."""
+        near, far = self.cells.local_names(), set(self.cells.remote_names())
         self.assertEqual({each.name for each in self.entries}, near | far)
         self.assertFalse(near & far)
         self.assertIn(self.cells.name, near)
 
     def test_audience_does_not_grow(self):
-        """As many are told of a request in a fleet of 30 and of 300."""
+        """A replica's audience is not larger in a fleet of 300 than of 30."""
         for count in (30, 88, 300):
             self.entries = spread(count, 6)
             self.clock.advance(REFRESH_S)
-            told = self.cells.entries_of_replica('i-0')
-            self.assertLessEqual(len(told), MAX_ENTRIES)
-            self.assertTrue(told)
+            audience = self.cells.entries_of_replica('i-0')
+            self.assertLessEqual(len(audience), MAX_ENTRIES)
+            self.assertTrue(audience)
 
     def test_tellers(self):
-        """One entry of a cell tells each far one; another if it is gone."""
-        far = self.cells.remote_entries()
+        """One entry of a cell sends offers to each remote entry.
+
+        Another entry takes over if it stops.
+        """
+        far = self.cells.remote_names()
         views = {
             name: cells_of(self.entries, self.fleet, name)
-            for name in self.cells.local_entries()
+            for name in self.cells.local_names()
         }
         alive = set(views)
         for _ in range(2):
             for name in far:
-                tellers = [
+                senders = [
                     each
                     for each in alive
                     if name in views[each].offer_recipients(alive - {each})
                 ]
-                self.assertEqual(1, len(tellers))
-            alive -= {tellers[0]}
+                self.assertEqual(1, len(senders))
+            alive -= {senders[0]}
 
     def test_work_is_shared(self):
-        """Telling is spread over the entries of a cell."""
-        near, far = self.cells.local_entries(), self.cells.remote_entries()
+        """The sending of offers is distributed over the entries of a cell."""
+        near, far = self.cells.local_names(), self.cells.remote_names()
         counts = [
             len(
                 list(
@@ -155,14 +161,14 @@
         self.assertLess(max(counts), len(far) / 4)
 
     def test_leaving_replica(self):
-        """One that takes no new work is told of in the own cell."""
+        """A replica that accepts no new work belongs to the local cell."""
         self.fleet.drop('i-1')
         self.assertEqual(
-            self.cells.local_entries(), self.cells.entries_of_replica('i-1')
+            self.cells.local_names(), self.cells.entries_of_replica('i-1')
         )
 
     def test_cells_without_replicas(self):
-        """Who has none near may run batch at those of the others."""
+        """Entries of a cell without replicas may run batch at remote ones."""
         fleet = FleetView()
         put_replicas(fleet, 10)
         entries = (*places('10.1.0.1:1', zone='z'), *spread(40, 2))
@@ -172,18 +178,18 @@
         self.assertEqual(41, len(found.batch_entries['z/0']))
 
     def test_a_lost_entry_moves_none(self):
-        """In a zone of several cells the others stay where they are."""
+        """In a zone with several cells the other entries keep their cells."""
         entries = spread(300, 6)
         before = ByZone().of_entries(entries)
         after = ByZone().of_entries(entries[1:])
         self.assertEqual(before, {**before, **after})
 
     def test_logged(self):
-        """A new division is logged once, with this entry's part in it."""
+        """A new division is logged once, with the local cell."""
         with mock.patch.object(logs, 'emit') as emit:
-            self.cells.local_entries()
+            self.cells.local_names()
             self.clock.advance(REFRESH_S)
-            self.cells.local_entries()
+            self.cells.local_names()
         emit.assert_called_once_with(
             events.CELLS_DIVIDED,
             cells=6,
@@ -192,7 +198,7 @@
         )
 
     def test_same_until_a_change(self):
-        """What is found is kept until an entry or a replica comes."""
+        """The result is the same object until the fleet changes."""
         found = self.cells.of_service(SERVICE)
         self.clock.advance(REFRESH_S)
         self.assertIs(found, self.cells.of_service(SERVICE))
--- a/tests/test_cells_told.py
+++ b/tests/test_cells_told.py
@@ -1,4 +1,4 @@
-"""Who is told what in a fleet of two cells."""
+"""Tests which messages each entry receives in a fleet of two cells."""
 
 import collections
 import itertools
@@ -15,12 +15,7 @@
 from cactusridge.http.client import Address, parse_address
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.cell_rules import EntryPlace
-from cactusridge.peers.exchange import (
-    ALL,
-    ANNOUNCED,
-    CHANGED,
-    OFFER,
-)
+from cactusridge.peers.exchange import ALL, ANNOUNCED, CHANGED, OFFER
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.offers import CellOffer
@@ -37,15 +32,15 @@
 from tests.emitted import emitted
 from tests.exchange_play import exchange_of
 
-# Where a datagram from another cell seems to come from.
-FAR = ('10.0.0.9', 1)
+# Sender address of a datagram from another cell.
+REMOTE = ('10.0.0.9', 1)
 
 
 class TestCellsTold(unittest.TestCase):
-    """Who is told what in a fleet of two cells."""
+    """Messages of an entry in a fleet of two cells."""
 
     def setUp(self):
-        """Start the first entry of forty in two zones; keep what it tells."""
+        """Create the first of 40 entries in two zones; record messages."""
         self.ports = Ports()
         self.addCleanup(self.ports.close)
         self.entries = spread(40, 2)
@@ -66,24 +61,24 @@
             self.addresses,
             self.sharing,
         )
-        self.told: list[tuple[str, dict]] = []
-        sock.send_to = self.keep
+        self.sent: list[tuple[str, dict]] = []
+        sock.send_to = self.record
 
-    def keep(self, target, raw):
-        """Keep what would be sent to a peer."""
+    def record(self, target, raw):
+        """Record a message instead of sending it to a peer."""
         name = str(Address(*target))
-        self.told.append((name, orjson.loads(raw)))
+        self.sent.append((name, orjson.loads(raw)))
 
-    def offers_told(self):
-        """Return what has been offered, and to whom."""
+    def sent_offers(self):
+        """Return the recorded offers with the names of their recipients."""
         return [
-            (name, CellOffer(*said[OFFER]))
-            for name, said in self.told
-            if OFFER in said
+            (name, CellOffer(*body[OFFER]))
+            for name, body in self.sent
+            if OFFER in body
         ]
 
-    def life_in(self, near):
-        """Return a replica of this entry's cell, or of the other one."""
+    def incarnation_in(self, near):
+        """Return a replica of the local cell, or of the remote one."""
         found = self.cells.of_service(SERVICE)
         return min(life for life in found.cells if (life in found.near) == near)
 
@@ -91,25 +86,28 @@
         *itertools.product((True, False), WorkKind),
     )
     def test_rise(self, near, kind):
-        """The entries of the replica's cell are told at once, no others."""
-        life = self.life_in(near)
+        """An increase is sent at once to the replica's cell and sharers."""
+        life = self.incarnation_in(near)
         with self.loads.running(life, kind):
-            names = [name for name, _ in self.told]
+            names = [name for name, _ in self.sent]
         wanted = self.cells.entries_of_replica(life) | self.sharing.of(life)
         self.assertEqual(sorted(wanted - {self.me.name}), sorted(names))
         self.assertEqual(near, self.me.name in wanted)
 
     def test_repeat(self):
-        """All in a replica's cell hear the counts there, nobody else."""
-        near, far = self.life_in(near=True), self.life_in(near=False)
+        """A repeat sends a replica's counts to its cell and sharers only."""
+        near, far = (
+            self.incarnation_in(near=True),
+            self.incarnation_in(near=False),
+        )
         with (
             self.loads.running(near, WorkKind.online),
             self.loads.running(far, WorkKind.online),
         ):
-            self.told.clear()
+            self.sent.clear()
             self.exchange._send_all()
-        counts = {name: said[ALL] for name, said in self.told if ALL in said}
-        own = self.cells.local_entries() - {self.me.name}
+        counts = {name: body[ALL] for name, body in self.sent if ALL in body}
+        own = self.cells.local_names() - {self.me.name}
         self.assertLessEqual(own, set(counts))
         for name in {each.name for each in self.entries} - {self.me.name}:
             wanted = {
@@ -121,88 +119,85 @@
             self.assertEqual(wanted, set(counts.get(name, ())))
 
     def test_end_told_with_a_repeat(self):
-        """What has ended since the last turn is told with all counts."""
-        far = self.life_in(near=False)
+        """A request that ended since the last message is part of the repeat."""
+        far = self.incarnation_in(near=False)
         audience = self.cells.entries_of_replica(far) | self.sharing.of(far)
         with self.loads.running(far, WorkKind.online):
-            self.told.clear()
+            self.sent.clear()
         self.exchange._send_all()
-        ends = {name for name, said in self.told if far in said.get(ALL, ())}
+        ends = {name for name, body in self.sent if far in body.get(ALL, ())}
         self.assertEqual(audience - {self.me.name}, ends)
 
     def test_offers(self):
         """Free slots are offered to the entries of the other cell.
 
-        Nobody else of the cell has been heard: all hear it from here. An
-        entry keeps what it has there.
+        No other entry of the local cell is live, so that this entry sends all
+        offers. An offer includes the requests that the remote entry already
+        has.
         """
-        life = self.life_in(near=True)
-        other = self.cells.remote_entries()[0]
+        life = self.incarnation_in(near=True)
+        other = self.cells.remote_names()[0]
         self.loads.set_peer_loads(other, {life: Load(3)})
         self.exchange._audience._rng = random.Random(1)
         for _ in range(20):
             self.exchange._send_all()
         offers = collections.defaultdict(list)
-        for name, offer in self.offers_told():
+        for name, offer in self.sent_offers():
             self.assertEqual(self.cells.own, offer.cell)
             offers[name].append(offer.slots)
-        self.assertEqual(set(self.cells.remote_entries()), set(offers))
+        self.assertEqual(set(self.cells.remote_names()), set(offers))
         found = [slots[life] for slots in offers[other] if life in slots]
         self.assertEqual({4}, set(found))
 
     def test_nothing_offered_when_full(self):
-        """Replicas whose slots online requests hold are not offered."""
+        """Replicas full of online requests are not offered."""
         own = self.cells.of_service(SERVICE).near
         self.loads.set_peer_loads(
-            self.cells.remote_entries()[0], dict.fromkeys(own, Load(SLOTS))
+            self.cells.remote_names()[0], dict.fromkeys(own, Load(SLOTS))
         )
         self.exchange._send_all()
-        offers = [offer.slots for _, offer in self.offers_told()]
-        self.assertEqual(len(self.cells.remote_entries()), len(offers))
+        offers = [offer.slots for _, offer in self.sent_offers()]
+        self.assertEqual(len(self.cells.remote_names()), len(offers))
         self.assertFalse(any(offers))
 
     def test_news_reaches_all(self):
-        """News goes to every entry, and again with each repeat."""
-        everybody = {each.name for each in self.entries} - {self.me.name}
+        """An announcement goes to every entry, and again with each repeat."""
+        all_names = {each.name for each in self.entries} - {self.me.name}
         self.exchange.tell('job', 7)
-        self.assertEqual(everybody, {name for name, _ in self.told})
-        self.told.clear()
+        self.assertEqual(all_names, {name for name, _ in self.sent})
+        self.sent.clear()
         self.exchange._send_all()
-        again = {name for name, said in self.told if said.get(ANNOUNCED)}
-        self.assertEqual(everybody, again)
+        again = {name for name, body in self.sent if body.get(ANNOUNCED)}
+        self.assertEqual(all_names, again)
 
     def test_listed_a_moment_ago(self):
-        """An entry that has just come into the list is told at once.
+        """An entry that has just joined the list receives counts at once.
 
-        In the first moments after a start all others have.
+        Right after a start all other entries have just joined.
         """
-        life = self.life_in(near=True)
-        self.cells.local_entries()
+        life = self.incarnation_in(near=True)
+        self.cells.local_names()
         newcomer = self.ports.give()
         self.addresses.append(newcomer)
         with self.loads.running(life, WorkKind.online):
-            self.assertIn(str(newcomer), {name for name, _ in self.told})
+            self.assertIn(str(newcomer), {name for name, _ in self.sent})
 
     def test_told_once_a_repeat(self):
-        """What is told in a repeat grows with cells, not with entries."""
+        """A repeat sends one datagram to each entry."""
         self.exchange._send_all()
-        self.assertEqual(len(self.entries) - 1, len(self.told))
+        self.assertEqual(len(self.entries) - 1, len(self.sent))
 
     def test_offer_taken(self):
-        """An offer is for so many requests at a time, until it is repeated."""
-        life = self.life_in(near=False)
+        """An offer limits the requests in flight and holds until replaced."""
+        life = self.incarnation_in(near=False)
         raw = orjson.dumps({OFFER: ['z1/0', {life: 1}, []]})
-        self.exchange._handle_datagram(
-            raw, parse_address(self.cells.remote_entries()[0])
-        )
+        self.exchange._handle(raw, parse_address(self.cells.remote_names()[0]))
         self.assertEqual({life}, self.loads.offered())
         with self.loads.running(life, WorkKind.online):
             self.assertEqual(set(), self.loads.offered())
         self.assertEqual({life}, self.loads.offered())
         raw = orjson.dumps({OFFER: ['z1/0', {}, [life]]})
-        self.exchange._handle_datagram(
-            raw, parse_address(self.cells.remote_entries()[0])
-        )
+        self.exchange._handle(raw, parse_address(self.cells.remote_names()[0]))
         self.assertEqual(set(), self.loads.offered())
         self.assertEqual({life}, self.loads.shared())
         self.assertFalse(self.loads.peers_heard())
@@ -216,38 +211,38 @@
         3,
     )
     def test_no_offer(self, raw):
-        """What cannot be read is logged and offers nothing."""
-        said = orjson.dumps({OFFER: raw})
-        with mock.patch.object(PeerSocket, 'receive', lambda _: (said, FAR)):
+        """An unreadable offer is logged and offers nothing."""
+        body = orjson.dumps({OFFER: raw})
+        with mock.patch.object(PeerSocket, 'receive', lambda _: (body, REMOTE)):
             with emitted() as found:
                 self.exchange._receive()
         self.assertEqual([events.PEER_UNREADABLE], found)
         self.assertEqual(set(), self.loads.offered())
 
     def test_shared(self):
-        """Who may run batch at a replica hears that it is told of it."""
+        """An entry's offer lists the replicas where it may run batch."""
         self.exchange._send_all()
-        for name, offer in self.offers_told():
+        for name, offer in self.sent_offers():
             for life in self.cells.of_service(SERVICE).near:
                 shares = name in self.sharing.of(life)
                 self.assertEqual(shares, life in offer.shared)
 
     def test_holder_is_told(self):
-        """Who has requests at a replica is told, whatever its cell."""
-        life = self.life_in(near=True)
-        told = self.cells.entries_of_replica(life) | self.sharing.of(life)
-        other = min(set(self.cells.remote_entries()) - told)
+        """A peer with requests at a replica receives its counts in any cell."""
+        life = self.incarnation_in(near=True)
+        audience = self.cells.entries_of_replica(life) | self.sharing.of(life)
+        other = min(set(self.cells.remote_names()) - audience)
         self.loads.set_peer_loads(other, {life: Load(0, 1)})
         with self.loads.running(life, WorkKind.online):
-            self.assertIn(other, {name for name, _ in self.told})
+            self.assertIn(other, {name for name, _ in self.sent})
 
     def test_far_peer_that_is_done(self):
-        """An entry of another cell is heard while it has requests here."""
-        far = parse_address(self.cells.remote_entries()[0])
-        near = parse_address(min(self.cells.local_entries() - {self.me.name}))
-        life = self.life_in(near=True)
+        """A remote peer is kept only while it has requests here."""
+        far = parse_address(self.cells.remote_names()[0])
+        near = parse_address(min(self.cells.local_names() - {self.me.name}))
+        life = self.incarnation_in(near=True)
         for count in (1, 0):
             raw = orjson.dumps({CHANGED: {life: [count, 0, 0]}})
             for sender in (far, near):
-                self.exchange._handle_datagram(raw, sender)
+                self.exchange._handle(raw, sender)
         self.assertEqual([str(near)], list(self.loads.current_peers()))
--- a/tests/test_crash_sharers.py
+++ b/tests/test_crash_sharers.py
@@ -1,4 +1,4 @@
-"""Who only shares a replica with a request that crashes it is served."""
+"""Tests that requests which share a replica with a crashing one are served."""
 
 import gevent
 from nose2.tools import params
@@ -10,10 +10,10 @@
 
 
 class TestSharers(CrashCase):
-    """Who only shares a replica with such a request stays served."""
+    """Requests on the replicas that another request crashes stay served."""
 
     def test_others_are_served(self):
-        """Other paths, callers and bodies are served all the while."""
+        """Requests with another path, caller or body are still served."""
         self.bring_to_crash('/on/1', STREAM)
         gevent.sleep(1)
         for target, body, source in (
@@ -25,7 +25,7 @@
             self.assertEqual(200, status)
 
     def test_items_that_shared_replicas_are_done(self):
-        """Items that were cut off by every crash are done, each once."""
+        """Batch items interrupted by every crash complete, each once."""
         self.site.submit('one', 'j2', ['60 0.05'] * 12)
         wait_for(
             'they run',
@@ -38,7 +38,7 @@
         self.assertEqual(12, len(set(listed)))
 
     def test_repeatable_requests_that_shared_replicas_are_served(self):
-        """Streams that may go on elsewhere come whole."""
+        """Repeatable streams continue elsewhere and arrive complete."""
         calls = [
             gevent.spawn(self.bring, f'/again/{number}', b'40 0.05')
             for number in range(4)
@@ -53,9 +53,10 @@
         ('/again/1', b'3 0.01'),
     )
     def test_cut_connections_hold_nobody_back(self, target, body):
-        """A request that was cut off everywhere by links that broke.
+        """A request is not quarantined for connections broken by the network.
 
-        Its replicas live, and nobody else sends them anything.
+        Its connections break at every replica, but the replicas keep running.
+        No other requests are sent to them.
         """
         for replica in self.site.replicas:
             replica.cut_after = [1, 1]
--- a/tests/test_crashing_prompts.py
+++ b/tests/test_crashing_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts that crash each engine that runs them come again and again."""
+"""Tests that prompts which crash engines are quarantined when repeated."""
 
 import gevent
 from nose2.tools import params
@@ -8,7 +8,8 @@
 from tests.rig_case import RigCase
 
 CRASHES = 3
-# Repeats that may still run once the entries can know of the third crash.
+# Repeats that may still run after all entries can have received the third
+# strike.
 RETRIES = 3
 CONTACT_S = 1.0
 REPEATS = 8
@@ -17,17 +18,21 @@
 
 
 class TestCrashingPrompts(RigCase):
-    """The same prompt of the same team, at any entry."""
+    """Repeats of a prompt of one team, sent to any entry."""
 
     sidecars = 3
 
     def setUp(self):
-        """Let engines be gone for a while after a crash."""
+        """Keep an engine down for BACK_S after a crash."""
         super().setUp()
         self.rig.let_crash(BACK_S)
 
     def bring(self, number: int, text: str = POISON, **fields: bool) -> int:
-        """Send a prompt to one entry after the other; return the status."""
+        """Send a prompt to the entries in turn; return the status.
+
+        Checks that a prompt whose refusal says that it has not run did not
+        run.
+        """
         entry = number % len(self.rig.entries)
         before = len(self.rig.executions(text))
         answer = self.rig.chat(text, entry, **fields)
@@ -36,16 +41,16 @@
         return answer.status
 
     def check_refusals(self):
-        """Check that what was said not to have run has not run.
+        """Check that prompts refused as not run have not run.
 
-        The same prompt has run in other calls; ``bring`` checks each.
+        The crashing prompt also runs in other calls; ``bring`` checks it.
         """
         found = self.rig.ran_though_refused()
         others = [raw for raw in found if POISON.encode() not in raw]
         self.assertEqual([], others)
 
     def bring_to_crash(self, **fields: bool) -> None:
-        """Bring the prompt until it has ended three engines."""
+        """Repeat the prompt until it has crashed three engines."""
         number = 0
         while self.rig.crashes() < CRASHES:
             self.bring(number, **fields)
@@ -54,20 +59,20 @@
 
     @params(True, False)
     def test_prompt_that_crashes_engines_is_held_back(self, stream):
-        """It reaches few engines more; others are served all the while."""
+        """The prompt reaches few further engines; other prompts are served."""
         self.bring_to_crash(stream=stream)
         gevent.sleep(CONTACT_S)
         before = self.rig.crashes()
-        said = []
+        statuses = []
         for number in range(REPEATS):
-            said.append(self.bring(number, stream=stream))
+            statuses.append(self.bring(number, stream=stream))
             gevent.sleep(BACK_S)
             self.assertEqual(200, self.bring(number, f'other {number}'))
         self.assertLessEqual(self.rig.crashes() - before, RETRIES)
-        self.assertEqual(REFUSED, said[-1])
+        self.assertEqual(REFUSED, statuses[-1])
 
     def test_item_that_crashes_engines_is_held_back(self):
-        """It fails in each job; the other items are done."""
+        """The item fails in each job; the other items complete."""
         for _ in range(4):
             job = self.submit(['a', POISON, 'b'])
             shown = self.wait_state(job, 'completed')
@@ -76,7 +81,7 @@
         self.assertLessEqual(self.rig.crashes(), 2 * CRASHES)
 
     def test_entry_that_starts_later(self):
-        """It holds back what the others do."""
+        """An entry that starts later quarantines the same prompt."""
         self.bring_to_crash()
         gevent.sleep(CONTACT_S)
         before = self.rig.crashes()
@@ -89,7 +94,7 @@
         self.assertLessEqual(self.rig.crashes() - before, 1)
 
     def test_engine_that_breaks_off_and_lives(self):
-        """Nobody is held back for connections that break."""
+        """Broken connections to running engines quarantine no prompt."""
         for number in range(2 * CRASHES):
             for engine in self.rig.engines:
                 engine.subject.batch.crash()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash each replica that runs them come again and again."""
+"""Tests that requests which crash replicas are quarantined when repeated."""
 
 import itertools
 
@@ -15,13 +15,13 @@
     CrashCase,
 )
 
-# Under the time that entries wait for others to answer.
+# Shorter than the time that entries wait for a response, in milliseconds.
 SHORT_MS = 400
-# Over the time in which a replica is back.
+# Longer than the time in which a crashed replica restarts, in milliseconds.
 LONG_MS = 1200
-# Addresses from which the same request comes by turns.
+# Number of addresses from which the same request is sent in turn.
 ADDRESSES = 5
-# Streams, one of which may go on elsewhere, and plain requests.
+# Streams, one of them repeatable, and plain requests.
 REQUESTS = (
     ('/on/1', STREAM),
     ('/again/1', STREAM),
@@ -31,10 +31,10 @@
 
 
 class TestCrashingRequests(CrashCase):
-    """The same path, caller and body, at any entry."""
+    """Repeats of a request with the same path, caller and body at any entry."""
 
     def test_request_that_crashes_replicas_is_held_back(self):
-        """It reaches few replicas more once it has crashed three."""
+        """The request reaches few more replicas after it has crashed three."""
         for target, body in REQUESTS:
             with self.subTest(target):
                 self.forget_crashes()
@@ -46,7 +46,10 @@
                 self.check_budget()
 
     def test_repeats_from_other_addresses(self):
-        """The address does not say who calls."""
+        """Repeats from other addresses count as the same request.
+
+        The address does not identify the caller.
+        """
         for target, body in REQUESTS:
             with self.subTest(target):
                 self.forget_crashes()
@@ -62,7 +65,11 @@
                 self.check_budget()
 
     def test_request_that_silences_replicas_is_held_back(self):
-        """Its replicas end without a word; nobody waits for long."""
+        """Requests whose replicas stop without closing are quarantined too.
+
+        The callers' deadlines are shorter than the time that entries wait for
+        a response.
+        """
         for target, body in REQUESTS:
             with self.subTest(target):
                 self.forget_crashes()
@@ -75,7 +82,10 @@
                 self.check_budget()
 
     def test_replica_that_is_back_at_its_address(self):
-        """Another one answers there when the silence is noticed."""
+        """The crash counts although another replica responds at the address.
+
+        The silence is noticed only after that replica has started.
+        """
         self.site.renames = True
         while len(self.crashes()) < CRASHES:
             self.bring('/on/1', SILENT, deadline_ms=LONG_MS)
@@ -85,7 +95,7 @@
         self.check_budget()
 
     def test_caller_that_leaves_a_silent_replica(self):
-        """What it left at once when nothing came has ended replicas too."""
+        """Requests whose callers left a silent replica count as crashes too."""
         while len(self.crashes()) < CRASHES:
             self.leave('/on/1', SILENT)
         gevent.sleep(CONTACT_S)
@@ -94,7 +104,7 @@
         self.check_budget()
 
     def test_item_that_crashes_replicas_is_held_back(self):
-        """An item is not run for ever; the others of its job are done."""
+        """A crashing item stops being retried; the other items complete."""
         self.site.submit('one', 'j1', ['crash', '5 0.05', '5 0.05'])
         wait_for('three crashes', lambda: len(self.crashes()) >= CRASHES, 20)
         gevent.sleep(CONTACT_S * 2)
@@ -103,7 +113,7 @@
         self.assertEqual({'j1-1', 'j1-2'}, set(listed))
 
     def test_entries_that_start_anew_know_it(self):
-        """The loss of all entries does not begin the count anew."""
+        """Strikes survive a restart of all entries."""
         self.bring_to_crash('/on/1', STREAM)
         gevent.sleep(1)
         for process in self.site.entries.values():
@@ -116,7 +126,10 @@
         self.check_budget()
 
     def test_held_request_is_refused_at_once(self):
-        """It has not run, so that a status may promise so."""
+        """A quarantined request is refused at once.
+
+        The status may promise that the request did not run.
+        """
         self.bring_to_crash('/on/1', STREAM)
         gevent.sleep(0.5)
         self.assertEqual(503, self.bring('/on/1', STREAM))
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -1,7 +1,7 @@
-"""What a choice costs, and how often it is made, is bounded in a fleet.
+"""Tests that the cost and the rate of selections are bounded in a fleet.
 
-Counted in calls of functions, generators' turns among them, which are the
-same on every machine and at every load.
+Cost is the number of function calls, including resumed generators. It is the
+same on every machine and under every load.
 """
 
 import sys
@@ -33,15 +33,15 @@
 REPLICAS = 25
 SLOTS = 7
 SERVICE = 's'
-# Share by which a choice may cost more with four times as many entries.
+# Factor by which a selection may cost more with four times as many entries.
 MARGIN = 1.1
 DATAGRAM_S = 0.005
-# Calls that a choice may take, by what it is for.
+# Function calls that a selection may take, by kind of request.
 BOUNDS = {'online': 600, 'batch': 250}
 
 
 def calls_of(function):
-    """Return how many calls ``function`` makes, after a first time."""
+    """Return how many calls the second call of ``function`` makes."""
     function()
     seen = Counter()
 
@@ -57,10 +57,10 @@
 
 
 class Entry:
-    """The parts of an entry that choose, among ``entries`` entries."""
+    """The parts of an entry that select replicas, among ``entries`` entries."""
 
     def __init__(self, entries):
-        """Have heard of requests of all peers at all replicas."""
+        """Create an entry with counts of all peers at all replicas."""
         clock = SystemClock()
         fleet = FleetView()
         ids = [f'r{number}' for number in range(REPLICAS)]
@@ -97,20 +97,20 @@
         self.free = FreeReplicas(fleet, runner, sharing)
 
     def online(self):
-        """Choose a replica for an online request."""
+        """Select a replica for an online request."""
         call = SimpleNamespace(route=self.route)
         return self.attempts.choose(call, Progress())
 
     def batch(self):
-        """Choose a replica for a batch item."""
+        """Select a replica for a batch item."""
         return self.free.roomiest(self.route)
 
 
 class TestLooks(unittest.TestCase):
-    """How often the batch scheduler looks, on a clock of its own."""
+    """How often the batch scheduler polls, with a simulated clock."""
 
     def looks_in_a_second(self, several):
-        """Return the looks while a datagram comes every 5 ms."""
+        """Return the polls in a second with a datagram every 5 ms."""
         clock = ManualClock(1)
         pacer = LookPacer(clock, SimpleNamespace(several=several))
         looks = 0
@@ -124,17 +124,17 @@
 
     @params((True, 50), (False, 200))
     def test_looks(self, several, wanted):
-        """In a large fleet it does not look at every datagram."""
+        """In a large fleet the scheduler does not poll at every datagram."""
         looks = self.looks_in_a_second(several)
         self.assertLessEqual(abs(looks - wanted), 1)
 
 
 class TestFleetCost(unittest.TestCase):
-    """Calls of one choice."""
+    """Function calls of one selection."""
 
     @params('online', 'batch')
     def test_choice(self, kind):
-        """It costs the same with few peers and with many."""
+        """A selection costs the same with few peers and with many."""
         few = calls_of(getattr(Entry(FEW), kind))
         many = calls_of(getattr(Entry(MANY), kind))
         self.assertLessEqual(many, few * MARGIN)
--- a/tests/test_free_replicas.py
+++ b/tests/test_free_replicas.py
@@ -1,4 +1,4 @@
-"""Where an entry of a large fleet runs batch."""
+"""Tests where an entry of a large fleet runs batch items."""
 
 import unittest
 from types import SimpleNamespace
@@ -17,10 +17,10 @@
 
 
 class TestFreeReplicas(unittest.TestCase):
-    """The replica with the most room, near before far."""
+    """The replica with the most room is chosen, in the local cell first."""
 
     def setUp(self):
-        """Be the first of forty entries in two zones."""
+        """Create the first of forty entries in two availability zones."""
         clock = ManualClock()
         fleet = FleetView()
         put_replicas(fleet, 20, 2)
@@ -35,16 +35,16 @@
         self.route = SimpleNamespace(shares=[share])
 
     def fill_near(self):
-        """Let all near replicas be full."""
+        """Report all replicas of the local cell as full."""
         self.loads.set_peer_loads(PEER, dict.fromkeys(self.near, Load(SLOTS)))
 
     def found(self):
-        """Return the life of the replica with the most room, or None."""
+        """Return the key of the replica with the most room, or None."""
         replica = self.free.roomiest(self.route)
         return replica and replica.life
 
     def test_near_first(self):
-        """While one of the own cell has room no other is taken."""
+        """A remote replica is not chosen while a local one has room."""
         far = self.mine - self.near
         self.loads.set_offer(CellOffer('z1/0', {}, list(far)))
         busy = dict.fromkeys(self.near, Load(SLOTS - 1))
@@ -52,7 +52,10 @@
         self.assertIn(self.found(), self.near)
 
     def test_unknown_is_not_empty(self):
-        """One of another cell is left alone until this entry is told of it."""
+        """A remote replica is not chosen before its counts are offered.
+
+        Without counts a full remote replica would look empty.
+        """
         self.fill_near()
         self.assertIsNone(self.found())
         far = min(self.mine - self.near)
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -1,4 +1,4 @@
-"""What the end of a life of a replica ends."""
+"""Tests the end of an incarnation of a replica."""
 
 from unittest import mock
 
@@ -24,29 +24,29 @@
 
 
 class Ends(LifeListener):
-    """Keeps the lives that have ended."""
+    """Records the incarnations that have ended."""
 
     def __init__(self):
-        """Start with none."""
+        """Create a listener without records."""
         self.lives = []
 
     def life_ended(self, life):
-        """Keep it."""
+        """Record the incarnation."""
         self.lives.append(life)
 
 
 class TestEnds(DiscoveryCase):
-    """What ends a life, and what is told of it."""
+    """What ends an incarnation, and which listeners are notified."""
 
     def setUp(self):
-        """Listen."""
+        """Register a listener and list a replica."""
         super().setUp()
         self.ends = Ends()
         self.fleet.on_life_end(self.ends)
         self.put(ID, ENTRY)
 
     def test_newer_life(self):
-        """A newer life ends the one before, once."""
+        """A newer incarnation ends the one before, once."""
         for _ in range(2):
             self.put(ID, ENTRY, born=BORN + 1)
         self.assertEqual([OLD], self.ends.lives)
@@ -55,20 +55,20 @@
         self.assertEqual(1, self.logged(events.REPLICA_REBORN))
 
     def test_after_a_removal(self):
-        """Also where the one before was gone already."""
+        """A newer incarnation ends one that is no longer listed."""
         self.remove(ID)
         self.assertEqual([], self.ends.lives)
         self.put(ID, ENTRY, born=BORN + 1)
         self.assertEqual([OLD], self.ends.lives)
 
     def test_first_told_life(self):
-        """An id that begins to tell its lives has a new one."""
+        """A first start time for an id begins a new incarnation."""
         self.put('i-9', UNTOLD)
         self.put('i-9', ENTRY)
         self.assertEqual(['i-9'], self.ends.lives)
 
     def test_nothing_else(self):
-        """A late entry, a spoiled one and a change of state end none."""
+        """Late and unreadable entries and a change of state end none."""
         self.put(ID, ENTRY, born=BORN - 1)
         self.put(ID, ENTRY, state='draining')
         self.spoil(ID, SPOILED)
@@ -77,10 +77,10 @@
 
 
 class TestBeliefs(DiscoveryCase):
-    """What was believed of a former life says nothing of the next."""
+    """State about an ended incarnation does not apply to the next one."""
 
     def setUp(self):
-        """Know one life and what is believed of it."""
+        """List two replicas with health records, counts and connections."""
         super().setUp()
         self.loads = LoadTable(self.clock)
         self.health = OutlierEjector(self.clock)
@@ -93,35 +93,35 @@
         self.put('i-1', ENTRY)
 
     def reborn(self):
-        """Let a newer life be listed."""
+        """List a newer incarnation."""
         self.put(ID, ENTRY, born=BORN + 1)
 
     def test_counts(self):
-        """Requests at a former life hold no slot of the next."""
+        """Requests at an ended incarnation use no slots of the next one."""
         self.loads.set_peer_loads('peer', {OLD: Load(5, 2, 1)})
         with self.loads.running(OLD, WorkKind.online):
             self.reborn()
             self.assertEqual(Load(), self.loads.at(NEW))
             self.assertEqual(Load(1), self.loads.at(OLD))
-            # A peer that has not heard of it yet.
+            # A peer that does not know the new incarnation yet.
             self.loads.set_peer_loads('peer', {OLD: Load(4)})
             self.assertEqual(Load(), self.loads.at(NEW))
         self.assertEqual({}, self.loads.all_own())
 
     def test_verdict(self):
-        """An ejected life's successor is in choice at once."""
+        """The successor of an ejected incarnation may be chosen at once."""
         other = incarnation_key('i-1', BORN)
         self.health.failed(OLD, certain=True)
         self.assertEqual({other}, self.health.allowed([OLD, other]))
         self.reborn()
         self.assertEqual({OLD, other}, self.health.allowed([OLD, other]))
         self.assertEqual({NEW, other}, self.health.allowed([NEW, other]))
-        # What ran at the former one fails later.
+        # A request at the ended incarnation fails later.
         self.health.failed(OLD, certain=True)
         self.assertEqual({NEW, other}, self.health.allowed([NEW, other]))
 
     def test_connections(self):
-        """A kept connection is closed and serves no other life."""
+        """Idle connections are closed and not used for the next incarnation."""
         kept, fresh, late = (mock.Mock() for _ in range(3))
         address = Address('127.0.0.1', 8000)
         self.connections.give_back(OLD, kept, 5)
@@ -135,7 +135,7 @@
         late.close.assert_called_once_with()
 
     def test_sharing(self):
-        """Batch is shared out by lives."""
+        """The entries that run batch are selected by incarnation."""
         names = tuple(f'10.0.0.{number}:1' for number in range(40))
         cells = cells_of(places(*names), self.fleet)
         sharing = BatchSharing(self.fleet, cells)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Lives of replicas: one id, one process after another."""
+"""Tests incarnations: successive processes of a replica under one id."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class TestKey(unittest.TestCase):
-    """Keys of lives."""
+    """Keys of incarnations."""
 
     @params(
         (('a', NOT_TOLD), 'a'),
@@ -29,12 +29,12 @@
         (('a@5', 7), 'a@5@7'),
     )
     def test_key(self, life, wanted):
-        """No id makes the key of another's life."""
+        """No replica id equals the key of another replica's incarnation."""
         self.assertEqual(wanted, incarnation_key(*life))
 
 
 class TestRule(DiscoveryCase):
-    """Entries that do not tell their lives."""
+    """Entries without a start time."""
 
     @params(
         (0, 0, False),
@@ -45,9 +45,9 @@
         (2, 4, False),
         (3, 4, True),
     )
-    def test_most_tell(self, telling, known, wanted):
-        """The list tells lives if most of its replicas do."""
-        self.assertEqual(wanted, most_have_start_time(telling, known))
+    def test_most_tell(self, with_start_time, known, wanted):
+        """Start times are expected if most replicas have one."""
+        self.assertEqual(wanted, most_have_start_time(with_start_time, known))
 
     @params(
         (5, NOT_TOLD, False, True),
@@ -57,20 +57,26 @@
         (NOT_TOLD, 4, False, False),
         (NOT_TOLD, 4, True, False),
     )
-    def test_names_replica(self, born, newest, told, wanted):
-        """Without a life it counts where nobody tells one."""
-        self.assertEqual(wanted, is_usable_entry(born, newest, told))
+    def test_names_replica(self, born, newest, most_have_start, wanted):
+        """An entry without a start time is usable only if most have none.
+
+        An id that had a start time before needs one.
+        """
+        self.assertEqual(wanted, is_usable_entry(born, newest, most_have_start))
 
     @params('uuut', 'tuuu', 'utuu', 'uutt', 'ttuu')
     def test_few_tell(self, entries):
-        """Another writer's one entry puts nobody out, in any order."""
+        """Without a majority of start times no replica is excluded."""
         for number, kind in enumerate(entries):
             self.put(f'i-{number}', ENTRY if kind == 't' else UNTOLD)
         self.assertEqual(4, len(self.in_choice()))
 
     @params('uttt', 'tttu', 'tutt', 'uuttt', 'ttutu')
     def test_most_tell_theirs(self, entries):
-        """Those that do not are left out, in any order."""
+        """Entries without a start time are excluded if most have one.
+
+        The order of the entries does not matter.
+        """
         for number, kind in enumerate(entries):
             self.put(f'i-{number}', ENTRY if kind == 't' else UNTOLD)
         wanted = {f'i-{n}' for n, kind in enumerate(entries) if kind == 't'}
@@ -78,7 +84,7 @@
         self.assertLess(0, self.logged(events.LIVES_NOT_TOLD))
 
     def test_back_when_few_tell(self):
-        """Whoever was left out is back once most do not tell."""
+        """Excluded replicas are used again once most have no start time."""
         self.put('i-0', UNTOLD)
         self.put('i-1', ENTRY)
         self.put('i-2', ENTRY)
@@ -87,15 +93,15 @@
 
 
 class TestOrder(DiscoveryCase):
-    """Which life counts, whatever the order of the entries."""
+    """The incarnation that counts, whatever the order of the entries."""
 
     @params(
-        # In order, out of order, and late once more.
+        # In order, out of order, and delivered late again.
         ([1, 2], 2),
         ([2, 1], 2),
         ([1, 2, 1], 2),
         ([1, 3, 2], 3),
-        # With a removal or a spoiled entry between.
+        # With a removal or an unreadable entry in between.
         ([1, GONE], None),
         ([1, GONE, 1], 1),
         ([1, GONE, 2], 2),
@@ -105,14 +111,14 @@
         ([2, SPOILED, 1], None),
         ([2, SPOILED, 2], 2),
         ([1, SPOILED, 2], 2),
-        # With entries that tell no life.
+        # With entries without a start time.
         ([0], 0),
         ([0, 1], 1),
         ([1, 0], None),
         ([1, 0, 1], 1),
         ([1, GONE, 0], None),
         ([0, GONE, 0], 0),
-        # States: of the same life, of the next one, late.
+        # States: of the same incarnation, of the next one, delivered late.
         ([1, (1, DRAINING)], None),
         ([(1, DRAINING), 1], 1),
         ([(1, DRAINING), 2], 2),
@@ -120,7 +126,7 @@
         ([2, (1, DRAINING)], 2),
     )
     def test_order(self, steps, wanted):
-        """The newest life that was listed counts, or none."""
+        """The newest incarnation that was listed counts, or none."""
         for step in steps:
             self.step(step)
         found = [each.born for each in self.fleet.ready('model')]
@@ -128,19 +134,19 @@
         self.assertEqual([] if wanted is None else [born], found)
 
     def step(self, step):
-        """Let the list hold an entry of a life, a spoiled one, or none."""
+        """List an entry of an incarnation, an unreadable entry, or none."""
         if step == GONE:
             self.remove(ID)
         elif step == SPOILED:
             self.spoil(ID, step)
         else:
             number, state = step if isinstance(step, tuple) else (step, 'ready')
-            told = {'born': BORN + number} if number else {}
-            self.put(ID, UNTOLD, state=state, **told)
+            fields = {'born': BORN + number} if number else {}
+            self.put(ID, UNTOLD, state=state, **fields)
 
     @params(True, False)
     def test_address(self, in_order):
-        """The newest life's address counts."""
+        """The address of the newest incarnation counts."""
         puts = [
             {'born': BORN, 'address': ELSEWHERE},
             {'born': BORN + 1},
@@ -150,18 +156,18 @@
         self.assertEqual({Address('127.0.0.1', 8000)}, self.addresses())
 
     def test_same_life_moves(self):
-        """An entry of the same life is an update."""
+        """An entry of the same incarnation updates the replica."""
         self.put(ID, ENTRY)
         self.put(ID, ENTRY, address=ELSEWHERE, slots=3)
         self.assertEqual({Address('127.0.0.1', 8001)}, self.addresses())
         self.assertEqual(3, self.fleet.get(OLD).slots)
 
     def addresses(self):
-        """Return the addresses in choice."""
+        """Return the addresses of the ready replicas."""
         return {each.address for each in self.fleet.ready('model')}
 
     def test_late_one_is_logged_once(self):
-        """A former life is told of once a version of its row."""
+        """An entry of an earlier incarnation is logged once per row version."""
         self.put(ID, ENTRY, born=BORN + 1)
         row = self.put(ID, ENTRY)
         self.list.put(row)
@@ -169,7 +175,7 @@
 
     @params((MAX_UNLISTED - 1, 0), (MAX_UNLISTED, 1))
     def test_memory_is_bounded(self, others, wanted):
-        """The newest life is remembered until so many others have gone."""
+        """The newest start time is kept for the last MAX_UNLISTED replicas."""
         self.put(ID, ENTRY, born=BORN + 1)
         self.remove(ID)
         for number in range(others):
--- a/tests/test_peer_strikes.py
+++ b/tests/test_peer_strikes.py
@@ -1,4 +1,4 @@
-"""Strikes between entries, over datagrams on loopback."""
+"""Tests the exchange of strikes between entries by loopback datagrams."""
 
 import unittest
 
@@ -21,10 +21,10 @@
 
 
 class Entry:
-    """The suspects of an entry that tells its peers."""
+    """The crash evidence of an entry that exchanges it with its peers."""
 
     def __init__(self, address, addresses):
-        """Speak at ``address`` to all in ``addresses``."""
+        """Create an entry at ``address`` whose peers are at ``addresses``."""
         clock = SystemClock()
         self.address = address
         self.suspects = Suspects(ByCrashes(), clock)
@@ -42,16 +42,16 @@
         exchange.start()
 
     def crash(self, lives: str) -> None:
-        """Let replicas break off under a request."""
+        """Record crashes of replicas under a request."""
         for life in lives:
             self.suspects.crashed('a', life, Stage.begun)
 
 
 class TestPeerStrikes(unittest.TestCase):
-    """Two entries."""
+    """Strikes between two entries."""
 
     def setUp(self):
-        """Start them."""
+        """Start both entries."""
         ports = Ports()
         self.addCleanup(ports.close)
         addresses = [ports.give() for _ in range(2)]
@@ -59,7 +59,7 @@
         self.two = Entry(addresses[1], addresses)
 
     def wait_held(self, held: bool) -> None:
-        """Wait until both hold the request back, or neither does."""
+        """Wait until both entries quarantine the request, or neither does."""
         for each in (self.one, self.two):
             wait_for(
                 f'held: {held}',
@@ -67,14 +67,17 @@
             )
 
     def test_crashes_at_different_entries(self):
-        """Each has seen too few to hold the request back."""
+        """Strikes of both entries together quarantine the request.
+
+        Neither entry has recorded enough strikes for it alone.
+        """
         self.one.crash('1')
         self.two.crash('2')
         self.one.crash('3')
         self.wait_held(held=True)
 
     def test_what_was_lost_comes_with_the_next(self):
-        """Datagrams may be lost."""
+        """Strikes in lost datagrams are repeated in the next datagram."""
         tell = self.one.sock.send_to
         self.one.sock.send_to = lambda *_: None
         self.one.crash('12')
@@ -83,7 +86,7 @@
         self.wait_held(held=True)
 
     def test_taken_back(self):
-        """By the entry that has seen the replica live."""
+        """An entry withdraws strikes when the request completes there."""
         self.one.crash('123')
         self.wait_held(held=True)
         self.two.suspects.survived('a')
@@ -96,7 +99,7 @@
         5,
     )
     def test_unreadable(self, raw):
-        """It is passed over, and the next datagram is taken."""
+        """An unreadable message is ignored, and the next one is applied."""
         self.one.sock.send_to(self.two.address, orjson.dumps({STRIKES: raw}))
         self.one.crash('123')
         self.wait_held(held=True)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What entries tell each other, over datagrams on loopback."""
+"""Tests the exchange between entries by loopback datagrams."""
 
 import unittest
 
@@ -24,23 +24,23 @@
 )
 from tests.exchange_play import exchange_of
 
-# Several repeats of all counts, in seconds.
-HEARD_S = 5
+# The time of several repeats of all counts, in seconds.
+REPEATS_S = 5
 BATCH = WorkKind.batch
 
 
 class Peer:
-    """An entry's counts and its exchange."""
+    """The counts of an entry and its exchange."""
 
     def __init__(self, address, addresses):
-        """Speak at ``address`` to all in ``addresses``."""
+        """Create an entry at ``address`` whose peers are at ``addresses``."""
         self.address = address
         self.loads = LoadTable(SystemClock())
         fleet = FleetView()
         put_replicas(fleet, 1)
         names = {str(each) for each in (address, *addresses)}
         cells = cells_of(places(*names), fleet, str(address), SystemClock())
-        self.heard: list[str] = []
+        self.announced: list[str] = []
         self.sock = PeerSocket(address)
         self.exchange = exchange_of(
             self.sock,
@@ -48,17 +48,17 @@
             addresses,
             BatchSharing(fleet, cells),
         )
-        self.exchange.on_news(lambda subject, _: self.heard.append(subject))
-        self.words: list[Word] = []
-        self.exchange.on_word(lambda _, word: self.words.append(word))
+        self.exchange.on_news(lambda subject, _: self.announced.append(subject))
+        self.statuses: list[Word] = []
+        self.exchange.on_word(lambda _, status: self.statuses.append(status))
         self.exchange.start()
 
 
 class TestPeerExchange(unittest.TestCase):
-    """Counts and news between two entries."""
+    """Counts, announcements and statuses between two entries."""
 
     def setUp(self):
-        """Start two of them."""
+        """Start both entries."""
         self.ports = Ports()
         self.addCleanup(self.ports.close)
         addresses = self.addresses()
@@ -66,46 +66,55 @@
         self.two = Peer(addresses[1], addresses)
 
     def addresses(self):
-        """Return two addresses that nobody else gets."""
+        """Return two addresses that no other process uses."""
         return [self.ports.give() for _ in range(2)]
 
     def test_counts_come_and_go(self):
-        """A request is counted at the peer while it lasts."""
+        """A request is counted at the peer while it is in flight."""
         with self.one.loads.running('x', BATCH):
-            wait_for('it counts', lambda: self.two.loads.at('x') == Load(0, 1))
-        wait_for('it is over', lambda: self.two.loads.at('x') == Load(0, 0))
+            wait_for(
+                'the request is counted',
+                lambda: self.two.loads.at('x') == Load(0, 1),
+            )
+        wait_for(
+            'the request has ended',
+            lambda: self.two.loads.at('x') == Load(0, 0),
+        )
 
     def test_news(self):
-        """News reaches the peer."""
+        """An announcement reaches the peer."""
         self.one.exchange.tell('job', 7)
-        wait_for('the news', lambda: 'job' in self.two.heard)
+        wait_for('the announcement', lambda: 'job' in self.two.announced)
 
     def test_word(self):
-        """A peer tells its configuration and for how long it has the store."""
-        wait_for('a word', lambda: Word(3, True, 7) in self.two.words)
+        """A status has the configuration version and ``store_s``."""
+        wait_for('a status', lambda: Word(3, True, 7) in self.two.statuses)
 
     def test_word_of_an_older_entry(self):
-        """Without the time it vouches for nothing; the rest counts."""
+        """A status without ``store_s`` has 0 s; its other fields apply."""
         raw = orjson.dumps({ALL: {}, STATUS: [4, True]})
         self.one.sock.send_to(self.two.address, raw)
-        wait_for('the word', lambda: Word(4, True, 0) in self.two.words)
+        wait_for('the status', lambda: Word(4, True, 0) in self.two.statuses)
 
     def test_unlisted_peer_is_answered(self):
-        """An entry that is heard is told the counts, listed or not."""
+        """An entry sends counts to all peers it receives from.
+
+        The peer need not be in its membership list.
+        """
         addresses = self.addresses()
-        listed_nowhere = Peer(addresses[0], addresses)
-        knows_nobody = Peer(addresses[1], [])
-        with knows_nobody.loads.running('x', BATCH):
+        unlisted = Peer(addresses[0], addresses)
+        without_list = Peer(addresses[1], [])
+        with without_list.loads.running('x', BATCH):
             wait_for(
-                'it counts',
-                lambda: listed_nowhere.loads.at('x') == Load(0, 1),
-                HEARD_S,
+                'the request is counted',
+                lambda: unlisted.loads.at('x') == Load(0, 1),
+                REPEATS_S,
             )
 
     def test_at_once(self):
-        """One request more is told without waiting for a turn."""
+        """An increase of a count is sent without waiting an interval."""
         for kind in WorkKind:
-            told = []
-            self.one.sock.send_to = lambda peer, _: told.append(peer)
+            sent = []
+            self.one.sock.send_to = lambda peer, _: sent.append(peer)
             with self.one.loads.running('i-0', kind):
-                self.assertEqual([self.two.address], told)
+                self.assertEqual([self.two.address], sent)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, by the replicas that crashed under them."""
+"""Tests which requests are quarantined by the crashes they caused."""
 
 import unittest
 
@@ -23,32 +23,32 @@
 
 
 def strike(fingerprint: str, life: str, stage: Stage = BEGUN) -> Strike:
-    """Return a strike noted at 0 s."""
+    """Return a strike recorded at 0 s."""
     return Strike(fingerprint, life, stage, 0)
 
 
-class Told(StrikeListener):
-    """Keeps what it is told."""
+class RecordingListener(StrikeListener):
+    """Records what it is notified of."""
 
     def __init__(self) -> None:
-        """Be told nothing yet."""
+        """Create a listener without records."""
         self.strikes = []
         self.pairs = []
 
     def publish_strikes(self, strikes) -> None:
-        """Keep the strikes against a request."""
+        """Record the strikes of a request."""
         self.strikes.append([each.pair for each in strikes])
 
     def publish_withdrawals(self, pairs) -> None:
-        """Keep strikes that are taken back."""
+        """Record withdrawn strikes."""
         self.pairs.extend(pairs)
 
 
 class TestFingerprint(unittest.TestCase):
-    """Which requests are the same one."""
+    """Which requests have the same fingerprint."""
 
     def test_repeat(self):
-        """The same path, caller and body."""
+        """A repeat has the same path, caller and body."""
         self.assertEqual(fingerprint_of(*REQUEST), fingerprint_of(*REQUEST))
 
     @params(
@@ -61,12 +61,15 @@
         ('10.0.0.1', 'POST', 'h', '/pb', b''),
     )
     def test_other(self, *request):
-        """Whatever differs, also where the whole text is the same."""
+        """Requests that differ have different fingerprints.
+
+        This holds even if the concatenation of their parts is the same.
+        """
         self.assertNotEqual(fingerprint_of(*REQUEST), fingerprint_of(*request))
 
 
 class TestRule(unittest.TestCase):
-    """Strikes as (fingerprint, lives, stage), and who is held back."""
+    """Strikes as (fingerprint, incarnations, stage), and the quarantine."""
 
     @params(
         ((('a', '12', BEGUN),), ''),
@@ -75,7 +78,7 @@
         ((('a', '123456', ANSWERING),), 'a'),
         ((('a', '12345', QUEUED),), ''),
         ((('a', '12', BEGUN), ('a', '34', ANSWERING)), 'a'),
-        # Whoever shared the replicas of a certain cause.
+        # Requests that shared the replicas of a certain cause.
         ((('a', '123456', BEGUN), ('b', '123456', ANSWERING)), 'a'),
         ((('a', '123', BEGUN), ('b', '123456', ANSWERING)), 'a'),
         ((('a', '123', BEGUN), ('b', '12', BEGUN), ('b', '3', QUEUED)), 'a'),
@@ -84,10 +87,10 @@
         ((('a', '123', BEGUN), ('b', '345', BEGUN)), 'ab'),
         ((('a', '123', BEGUN), ('b', '3456789', ANSWERING)), 'ab'),
     )
-    def test_held(self, noted, wanted):
-        """By crashes, and by the naive rule nobody."""
+    def test_held(self, recorded, wanted):
+        """Crashes quarantine requests; the naive rule has no quarantine."""
         strikes = {}
-        for fingerprint, lives, stage in noted:
+        for fingerprint, lives, stage in recorded:
             found = strikes.setdefault(fingerprint, {})
             found |= {life: strike(fingerprint, life, stage) for life in lives}
         self.assertEqual(frozenset(wanted), ByCrashes().quarantined(strikes))
@@ -95,24 +98,24 @@
 
 
 class TestBook(unittest.TestCase):
-    """Strikes as they are heard."""
+    """The book of strikes of one entry."""
 
     def setUp(self):
-        """Know nothing."""
+        """Create an empty book."""
         self.clock = ManualClock()
         self.book = StrikeBook(ByCrashes(), self.clock)
 
     def add(self, lives: str, fingerprint: str = 'a') -> list[bool]:
-        """Add strikes; return which are new."""
+        """Add strikes; return for each whether it is new."""
         return [self.book.add(strike(fingerprint, life)) for life in lives]
 
     def test_same_life_counts_once(self):
-        """However often it is heard of."""
+        """A strike that is added again does not count twice."""
         self.assertEqual([True, False, True], self.add('112'))
         self.assertEqual(frozenset(), self.book.quarantined())
 
     def test_withdrawn_stays_so(self):
-        """A peer that tells of it again does not bring it back."""
+        """A withdrawn strike stays withdrawn when a peer sends it again."""
         self.add('123')
         self.assertEqual(frozenset('a'), self.book.quarantined())
         self.book.withdraw([('a', '1'), ('a', '9')])
@@ -120,7 +123,7 @@
         self.assertEqual([False, False], self.add('19'))
 
     def test_old_ones_count_no_more(self):
-        """A request is held back until its strikes are over."""
+        """A request is quarantined until its strikes expire."""
         self.add('123')
         self.assertEqual(STRIKE_LIFETIME_S, self.book.min_remaining_s('a'))
         self.clock.advance(STRIKE_LIFETIME_S - 1)
@@ -130,7 +133,7 @@
         self.assertEqual([False], self.add('4'))
 
     def test_bounded(self):
-        """The oldest go first."""
+        """The request that was added first is evicted first."""
         for number in range(MAX_REQUESTS + 1):
             self.add('1', f'f{number}')
         self.assertEqual([], self.book.strikes('f0'))
@@ -138,23 +141,23 @@
 
 
 class TestSuspects(unittest.TestCase):
-    """What one entry sees and passes on."""
+    """What one entry records and publishes."""
 
     def setUp(self):
-        """Have a listener."""
+        """Create an object with a listener."""
         self.clock = ManualClock()
         self.suspects = Suspects(ByCrashes(), self.clock)
-        self.told = Told()
-        self.suspects.pass_on(self.told)
+        self.listener = RecordingListener()
+        self.suspects.pass_on(self.listener)
 
     def crash(self, lives: str, fingerprint: str = 'a') -> None:
-        """Let replicas break off under a request, a second apart."""
+        """Record crashes of replicas under a request, one second apart."""
         for life in lives:
             self.clock.advance(1)
             self.suspects.crashed(fingerprint, life, BEGUN)
 
     def test_refusal(self):
-        """Held back after three crashes; the refusal promises no run."""
+        """Three crashes quarantine; the refusal says it did not run."""
         self.crash('12')
         self.suspects.check('a')
         self.crash('3')
@@ -165,16 +168,19 @@
         self.suspects.check('b')
 
     def test_each_strike_is_told_with_those_before(self):
-        """So that a lost datagram costs nothing for long."""
+        """A new strike is published with the earlier ones of its request.
+
+        This makes up for lost datagrams.
+        """
         self.crash('12')
         wanted = [[('a', '1')], [('a', '1'), ('a', '2')]]
-        self.assertEqual(wanted, self.told.strikes)
+        self.assertEqual(wanted, self.listener.strikes)
 
     def test_heard_strikes_are_not_told_again(self):
-        """A peer's strikes count and go no further."""
+        """Strikes of a peer count and are not published again."""
         self.suspects.add_strikes([strike('a', life) for life in '123'])
         self.assertTrue(self.suspects.is_held('a'))
-        self.assertEqual([], self.told.strikes)
+        self.assertEqual([], self.listener.strikes)
 
     @params(
         (2.9, 0.5, True),
@@ -182,18 +188,21 @@
         (3.1, MIN_RESTART_S, True),
     )
     def test_replica_that_answers_has_not_crashed(self, sent_at, later, held):
-        """Unless it was asked before, or may have come back since."""
+        """A response to a request sent after the strike disproves the strike.
+
+        It does not if enough time has passed for the replica to restart.
+        """
         self.crash('123')
         self.clock.advance(later)
         self.suspects.answered('3', sent_at)
         self.assertEqual(held, self.suspects.is_held('a'))
-        self.assertEqual([] if held else [('a', '3')], self.told.pairs)
+        self.assertEqual([] if held else [('a', '3')], self.listener.pairs)
 
     def test_request_that_was_run_to_its_end(self):
-        """It is no cause of what broke off before."""
+        """A completed request caused none of the crashes recorded before."""
         self.crash('123')
         self.crash('456', 'b')
         self.suspects.survived('a')
         self.assertFalse(self.suspects.is_held('a'))
         self.assertTrue(self.suspects.is_held('b'))
-        self.assertEqual([('a', life) for life in '123'], self.told.pairs)
+        self.assertEqual([('a', life) for life in '123'], self.listener.pairs)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing decisions by themselves, beside their naive versions."""
+"""Tests routing decisions in isolation, compared with naive policies."""
 
 import itertools
 import random
@@ -24,7 +24,7 @@
 
 
 def replicas(*busy: int, zone: str = 'a') -> list[Candidate]:
-    """Return a replica for each number of own requests in flight."""
+    """Return a replica for each number of own in-flight requests."""
     return [
         Candidate(f'{zone}{number}', zone, own=own, limit=SLOTS)
         for number, own in enumerate(busy)
@@ -32,14 +32,14 @@
 
 
 class TestPickers(unittest.TestCase):
-    """Which replica is chosen."""
+    """The selection of a replica."""
 
     def setUp(self):
-        """Draw from a seeded source."""
+        """Create a picker with a seeded random source."""
         self.picker = PrefixPicker(random.Random(1))
 
     def test_busy_replica_is_left_alone(self):
-        """The naive way goes on sending to it."""
+        """A busy replica is not selected; the naive policy selects it."""
         found = replicas(0, 7, 0)
         naive = RoundRobinPicker()
         chosen = {self.picker.pick(found, PLAIN).key for _ in range(30)}
@@ -53,7 +53,7 @@
         ((0, 5), (4, 4), {'a'}),
     )
     def test_same_zone_while_it_costs_nothing(self, near, far, wanted):
-        """The zone of the entry goes first unless the other is freer."""
+        """The entry's zone is preferred unless another has a lower load."""
         both = replicas(*near) + replicas(*far, zone='b')
         chosen = {self.picker.pick(both, PLAIN).zone for _ in range(30)}
         self.assertEqual(wanted, chosen)
@@ -61,17 +61,17 @@
     @given(st.binary(min_size=1, max_size=8), st.integers(2, 8))
     @settings(max_examples=50, deadline=None, derandomize=True)
     def test_prefix_stays_together(self, prefix, count):
-        """One prefix goes to one replica, also when another is gone."""
+        """A prefix stays at one replica, also when another one leaves."""
         idle = replicas(*itertools.repeat(0, count))
         request = PickRequest('a', prefix)
-        home = self.picker.pick(idle, request)
-        other = next(each for each in idle if each != home)
+        first = self.picker.pick(idle, request)
+        other = next(each for each in idle if each != first)
         left = [each for each in idle if each != other]
-        self.assertEqual(home, self.picker.pick(idle, request))
-        self.assertEqual(home, self.picker.pick(left, request))
+        self.assertEqual(first, self.picker.pick(idle, request))
+        self.assertEqual(first, self.picker.pick(left, request))
 
     def test_hot_prefix_spreads(self):
-        """Requests of one prefix use every replica before they queue."""
+        """Requests with one prefix use every replica before they queue."""
         counts = Counter({f'a{number}': 0 for number in range(4)})
         for _ in range(4 * SLOTS):
             found = [
@@ -82,7 +82,7 @@
         self.assertEqual({SLOTS}, set(counts.values()))
 
     def test_old_report_is_not_herded_to(self):
-        """A report that happened to be low is not believed for ever."""
+        """A low load in an old report does not keep attracting requests."""
         fresh = Candidate('x', 'a', 4, 0, 0, 0, SLOTS, sharers=10)
         aged = fresh._replace(age_s=30)
         self.assertAlmostEqual(4 / SLOTS, load_of(fresh))
@@ -95,21 +95,21 @@
         st.floats(0, 100),
     )
     @settings(max_examples=100, deadline=None, derandomize=True)
-    def test_load_grows_with_own(self, own, reported, then, age_s):
-        """One more request never makes a replica look freer."""
-        known = Candidate('x', 'a', own, reported, then, age_s, SLOTS)
-        more = known._replace(own=own + 1)
-        self.assertGreaterEqual(load_of(known), 0)
-        self.assertGreater(load_of(more), load_of(known))
+    def test_load_grows_with_own(self, own, reported, own_then, age_s):
+        """An additional own request always increases the load of a replica."""
+        less = Candidate('x', 'a', own, reported, own_then, age_s, SLOTS)
+        more = less._replace(own=own + 1)
+        self.assertGreaterEqual(load_of(less), 0)
+        self.assertGreater(load_of(more), load_of(less))
 
 
 class TestOutliers(unittest.TestCase):
-    """Which replicas may be chosen."""
+    """The ejection of replicas."""
 
     keys = ('a', 'b', 'c', 'd')
 
     def setUp(self):
-        """Know four good replicas."""
+        """Create four healthy replicas."""
         self.clock = ManualClock()
         self.ejector = OutlierEjector(self.clock)
         for _ in range(10):
@@ -117,12 +117,12 @@
                 self.ejector.succeeded(key, 0.01)
 
     def fail(self, key: str, times: int = 3) -> None:
-        """Let a replica fail."""
+        """Record failures of a replica."""
         for _ in range(times):
             self.ejector.failed(key)
 
     def test_failing_replica_is_out(self):
-        """The naive way goes on trusting it."""
+        """A failing replica is ejected; the naive detector keeps it."""
         naive = TrustAll()
         for _ in range(9):
             naive.failed('a')
@@ -131,7 +131,7 @@
         self.assertEqual(set(self.keys), naive.allowed(self.keys))
 
     def test_slow_replica_is_out(self):
-        """A multiple of the others' pace ejects, a little more does not."""
+        """A pace far above the median ejects; a slightly slower one stays."""
         self.ejector.succeeded('a', 0.02)
         self.assertIn('a', self.ejector.allowed(self.keys))
         self.ejector.succeeded('a', 0.04)
@@ -139,14 +139,14 @@
 
     @params(1, 2, 3, 4)
     def test_half_stay(self, failing):
-        """Whatever fails, half of the replicas may be chosen."""
+        """Half of the replicas may be chosen, however many fail."""
         for key in self.keys[:failing]:
             self.fail(key)
         allowed = self.ejector.allowed(self.keys)
         self.assertEqual(max(2, 4 - failing), len(allowed))
 
     def test_trials(self):
-        """It is tried after a pause; a failed trial doubles the pause."""
+        """A replica is tried after its ejection; a failed trial doubles it."""
         self.fail('a')
         self.clock.advance(2.1)
         self.assertIn('a', self.ejector.allowed(self.keys))
@@ -161,11 +161,11 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    """How often a failed request goes again."""
+    """How often a failed request is retried."""
 
     @params((RetryBudget(0.1), 1.12), (RetryThrice(), 4))
     def test_total_outage(self, policy, wanted):
-        """Attempts stay near the share; the naive way takes four each."""
+        """Attempts stay near the share; the naive policy makes four each."""
         requests = 1000
         attempts = 0
         for _ in range(requests):
@@ -179,7 +179,7 @@
         self.assertGreater(attempts, requests * (wanted - 0.03))
 
     def test_quiet_time_saves_no_storm(self):
-        """After a million good requests the store of tokens is bounded."""
+        """The saved tokens are bounded after many successful requests."""
         budget = RetryBudget(0.1)
         for _ in range(100_000):
             budget.request()
@@ -188,27 +188,27 @@
 
 
 class TestSubset(unittest.TestCase):
-    """Which replicas an entry knows."""
+    """The replicas that an entry uses."""
 
     @params((360, 12_000, 64), (4, 20, 10), (7, 100, 20))
     def test_every_replica_is_known(self, entries, count, size):
-        """Each replica is known to nearly the same number of entries."""
+        """Each replica is used by nearly the same number of entries."""
         names = [f'entry-{number}' for number in range(entries)]
         hosts = [f'host-{number}' for number in range(count)]
-        known = Counter(hosts)
+        uses = Counter(hosts)
         for name in names:
-            known.update(choose_subset(name, names, hosts, size))
+            uses.update(choose_subset(name, names, hosts, size))
         fair = entries * size / count
-        self.assertGreaterEqual(min(known.values()) - 1, int(fair))
-        self.assertLessEqual(max(known.values()) - 1, int(fair) + 1)
+        self.assertGreaterEqual(min(uses.values()) - 1, int(fair))
+        self.assertLessEqual(max(uses.values()) - 1, int(fair) + 1)
 
     def test_few_replicas_are_all_known(self):
-        """With no more than the size, nobody is left out."""
+        """All replicas are used if there are at most ``size`` of them."""
         self.assertEqual(['a', 'b'], choose_subset('e', ['e'], ['b', 'a'], 2))
 
 
 class TestMembership(unittest.TestCase):
-    """Whose word on a host is believed."""
+    """The state of a host from the list and its own responses."""
 
     @params(
         (HostState.live, 0, 0, False, Belief.serving),
@@ -225,6 +225,6 @@
         (None, 1, 0, True, Belief.leaving),
     )
     def test_word_against_word(self, listed, unlisted, heard, drains, wanted):
-        """The table of who is believed for how long."""
+        """The state follows from list, silence and drain as in the table."""
         evidence = Evidence(listed, unlisted, heard, drains, PROBE_S)
         self.assertEqual(wanted, judge(evidence))
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -1,4 +1,4 @@
-"""Which ends of a run speak against its request."""
+"""Tests which failures of a run count as a strike against its request."""
 
 import unittest
 
@@ -37,20 +37,23 @@
 
 
 class Breaking(Upstream, Exchange):
-    """Fails before or after the head; lives on or not."""
+    """Fails before or after the head, with or without a running replica."""
 
     def __init__(self, failure, headed, lives):
-        """Raise ``failure``, after a head if ``headed``."""
+        """Raise ``failure``, after a head if ``headed``.
+
+        ``lives`` is whether the replica still accepts connections.
+        """
         self._failure = failure
         self._headed = headed
         self._lives = lives
 
     def send(self, replica, req, left_s, fresh=False):
-        """Take the request."""
+        """Accept the request."""
         return self
 
     def lives(self, replica):
-        """Tell whether it lives."""
+        """Return whether the replica is running."""
         return self._lives
 
     def head(self, wait_s):
@@ -64,37 +67,37 @@
         raise self._failure
 
     def close(self):
-        """Nothing to do."""
+        """Do nothing."""
 
     def abort(self):
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class Stages(StrikeListener):
-    """Keeps the stages of strikes."""
+    """Records the stages of strikes."""
 
     def __init__(self):
-        """Be told nothing yet."""
-        self.noted = []
+        """Create a listener without records."""
+        self.stages = []
 
     def publish_strikes(self, strikes):
-        """Keep the stage of the last strike."""
-        self.noted.append(strikes[-1].stage)
+        """Record the stage of the last strike."""
+        self.stages.append(strikes[-1].stage)
 
     def publish_withdrawals(self, pairs):
-        """Nothing is taken back here."""
+        """Fail, because nothing is withdrawn in these tests."""
         raise AssertionError(pairs)
 
 
 class TestRunStrikes(unittest.TestCase):
-    """One run at one replica."""
+    """Strikes of one run at one replica."""
 
     def play(self, upstream, kind, output=False, aborted=False):
-        """Run a request to its failure; return what was noted."""
+        """Run a request until it fails; return the recorded stages."""
         clock = ManualClock()
         suspects = Suspects(ByCrashes(), clock)
-        found = Stages()
-        suspects.pass_on(found)
+        listener = Stages()
+        suspects.pass_on(listener)
         loads = LoadTable(clock)
         runner = Runner(upstream, loads, TrustAll(), suspects, clock)
         run = runner.open(REPLICA, REQUEST, kind, 1)
@@ -107,7 +110,7 @@
             run.read(1)
         clock.advance(1)
         gevent.sleep(2 * LEFT_AFTER_S)
-        return found
+        return listener
 
     @params(
         (OutcomeUnknown(), False, ONLINE, False, [Stage.begun]),
@@ -123,19 +126,20 @@
         (CrossedReply(), False, ONLINE, False, []),
     )
     def test_stage(self, failure, headed, kind, output, wanted):
-        """How far the run had come when the connection broke."""
+        """The stage is the progress of the run when its connection broke."""
         upstream = Breaking(failure, headed, lives=False)
-        found = self.play(upstream, kind, output)
-        self.assertEqual(wanted, found.noted)
+        listener = self.play(upstream, kind, output)
+        self.assertEqual(wanted, listener.stages)
 
     def test_caller_that_has_left(self):
-        """It has left since nothing came: its replica may have ended.
+        """A run without a response whose caller left counts once.
 
-        What breaks since it has left counts no second time.
+        The caller may have left because the replica crashed. A failure of the
+        run after that does not count again.
         """
         upstream = Breaking(OutcomeUnknown(), headed=False, lives=False)
-        found = self.play(upstream, ONLINE, aborted=True)
-        self.assertEqual([Stage.begun], found.noted)
+        listener = self.play(upstream, ONLINE, aborted=True)
+        self.assertEqual([Stage.begun], listener.stages)
 
     @params(
         (OutcomeUnknown(), False, False),
@@ -144,7 +148,7 @@
         (UpstreamSilent(), False, False),
     )
     def test_replica_that_lives(self, failure, headed, aborted):
-        """It takes another connection: it has not crashed."""
+        """A replica that accepts a new connection has not crashed."""
         upstream = Breaking(failure, headed, lives=True)
-        found = self.play(upstream, ONLINE, aborted=aborted)
-        self.assertEqual([], found.noted)
+        listener = self.play(upstream, ONLINE, aborted=aborted)
+        self.assertEqual([], listener.stages)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What an answer says of the replica that gave it."""
+"""Tests which responses eject the replica that sent them."""
 
 import unittest
 
@@ -27,22 +27,22 @@
 
 
 class Answering(Upstream, Exchange):
-    """Answers every request with one status."""
+    """Responds to every request with one status."""
 
     def __init__(self, status):
-        """Answer ``status``, genuinely."""
+        """Respond with ``status`` and a valid signature."""
         self._head = UpstreamHead(status, [], False, False, True)
 
     def send(self, replica, req, left_s, fresh=False):
-        """Take the request."""
+        """Accept the request."""
         return self
 
     def lives(self, replica):
-        """Live."""
+        """Return True: the replica is running."""
         return True
 
     def head(self, wait_s):
-        """Return the head."""
+        """Return the response head."""
         return self._head
 
     def read(self, wait_s):
@@ -50,14 +50,14 @@
         return b''
 
     def close(self):
-        """Nothing to do."""
+        """Do nothing."""
 
     def abort(self):
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class TestVerdicts(unittest.TestCase):
-    """Which answers take a replica out of choice."""
+    """Responses that eject a replica."""
 
     @params(
         (500, WorkKind.online, 1, False),
@@ -68,7 +68,7 @@
         (422, WorkKind.batch, 10, False),
     )
     def test_statuses(self, status, kind, times, out):
-        """Only its own failures, seen by online requests in a row."""
+        """Only consecutive 500 responses to online requests eject a replica."""
         clock = ManualClock()
         health = OutlierEjector(clock, FAILURES)
         loads = LoadTable(clock)
