--- a/cactusridge/peers/cells.py
+++ b/cactusridge/peers/cells.py
@@ -169,15 +169,15 @@
             found = self.of_service(service)
             yield from (each for each in found.ready if each.life in found.near)
 
-    def offer_recipients(self, heard: Iterable[str]) -> Iterator[str]:
+    def offer_recipients(self, current_peers: Iterable[str]) -> Iterator[str]:
         """Yield the remote entries that this entry sends the cell's offers to.
 
         Rendezvous hashing assigns each remote entry to one live entry of the
-        local cell. ``heard`` are the peers whose counts are current.
+        local cell. ``current_peers`` are the peers whose counts are current.
         """
-        living = (self.local_names() & set(heard)) | {self.name}
+        live_names = (self.local_names() & set(current_peers)) | {self.name}
         for name in self.remote_names():
-            if rendezvous(living, hash64(name))[0] == self.name:
+            if rendezvous(live_names, hash64(name))[0] == self.name:
                 yield name
 
     def _names_in(self, cell: str) -> frozenset[str]:
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -52,21 +52,24 @@
     def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
         """Send one request to an entry and wait for its response.
 
-        Returns None if the response does not arrive within ANSWER_S.
+        Returns None if the response does not arrive within RESPONSE_TIMEOUT_S.
         """
         number = next(self._numbers)
-        answer: AsyncResult = AsyncResult()
-        self._pending[number] = answer
+        response: AsyncResult = AsyncResult()
+        self._pending[number] = response
         name, limit, *more = asked
         payload = [number, name, list(limit), *more]
         self._peers.send_to(parse_address(entry), REQUEST_TOPIC, payload)
         try:
-            return answer.wait(timeout=RESPONSE_TIMEOUT_S)
+            return response.wait(timeout=RESPONSE_TIMEOUT_S)
         finally:
             self._pending.pop(number)
 
     def has_ended(self, entry: str) -> bool:
-        """Return whether an entry's host refuses connections at its address."""
+        """Return whether an entry's host refuses connections at its address.
+
+        An entry that is unreachable in another way may still be running.
+        """
         try:
             sock = socket.create_connection(
                 parse_address(entry), RESPONSE_TIMEOUT_S
@@ -85,14 +88,14 @@
     def _handle_request(self, peer: Target, raw: Any) -> None:
         """Respond to a peer's request; raises ValueError or TypeError."""
         number, *asked = raw
-        told = self._home.answer(_decode_request(*asked))
-        self._peers.send_to(peer, RESPONSE_TOPIC, [number, *told])
+        outcome = self._home.answer(_decode_request(*asked))
+        self._peers.send_to(peer, RESPONSE_TOPIC, [number, *outcome])
 
     def _handle_response(self, peer: Target, raw: Any) -> None:
         number, counted, wait_s = raw
-        answer = self._pending.get(number)
-        if answer is not None:
-            answer.set(LimitTold(bool(counted), float(wait_s)))
+        response = self._pending.get(number)
+        if response is not None:
+            response.set(LimitTold(bool(counted), float(wait_s)))
 
     def _send_remaining(self, copy: LimitCopy) -> None:
         """Send the remaining tokens of an organisation to its backup owners."""
