--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -1,13 +1,13 @@
-"""Entries tell each other how many requests they have at each replica.
-
-Datagrams, since an old count is worth nothing: one that is lost is
-repeated by the next. One request more at a replica is told at once to its
-audience: the entries of its cell and those that run batch there. Other
-changes go to them by turns, the slower the more entries a cell has. All
-counts go out every half second, which also says that the entry lives, which
-configuration it has and whether the store answers it. The other cells are
-offered free slots as often, each entry there by one entry of this cell. So
-what an entry reads grows with the number of cells and not with the entries.
+"""Exchanges counts of in-flight requests between entries by datagram.
+
+Datagrams suffice because an old count is useless: the next datagram makes up
+for a lost one. An additional request at a replica is sent at once to the
+entries of its cell and those that run batch there. Other changes are sent to
+them periodically, less often the more peers a cell has. Every half second an
+entry repeats all its counts, which also serves as a heartbeat, together with
+its configuration version and whether the store responds to it. At the same
+interval, one entry of a cell sends each remote entry an offer of free slots.
+The datagrams an entry reads thus grow with the number of cells, not entries.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -23,32 +23,32 @@
 from cactusridge.peers.cells import Cells
 from cactusridge.peers.load import NO_LOAD, Load, WorkKind
 from cactusridge.peers.loads import LoadTable
-from cactusridge.peers.offers import offer_in
+from cactusridge.peers.offers import decode_offer
 from cactusridge.peers.peer_socket import PeerSocket, Target
 from cactusridge.peers.word import Word
 from cactusridge.work_meter import Part, spawn
 
-# All counts are repeated this often, in seconds.
-REPEAT_S = 0.5
-# Changes go out after at least this long, in seconds: a twentieth of the
+# Interval at which all counts are repeated, in seconds.
+REPEAT_INTERVAL_S = 0.5
+# Shortest interval of sending changed counts, in seconds: a twentieth of the
 # time that an online request holds a slot.
-MIN_PERIOD_S = 0.04
-# And by the number of peers in the cell, so that an entry reads some 170
-# datagrams a second of changes at most.
-PERIOD_PER_PEER_S = 0.006
+MIN_SEND_INTERVAL_S = 0.04
+# Part of that interval for each peer in the cell, in seconds. It limits the
+# datagrams with changes that an entry reads to some 170 a second.
+SEND_INTERVAL_PER_PEER_S = 0.006
 ALL = 'all'
 CHANGED = 'some'
 OFFER = 'offer'
-WORD = 'word'
-NEWS = 'news'
-# News is repeated this often, twice a second: longer than an entry may
-# be suspended or cut off and still act on what it knew.
-NEWS_REPEATS = 20
-NOTHING: Mapping[str, Any] = MappingProxyType({})
+STATUS = 'word'
+ANNOUNCED = 'news'
+# Number of repeats of an announcement, at two a second. They last longer than
+# an entry can be suspended or partitioned and still act on what it knew.
+ANNOUNCEMENT_REPEATS = 20
+EMPTY: Mapping[str, Any] = MappingProxyType({})
 
 
 class PeerExchange:
-    """Sends this entry's counts to its peers and takes theirs."""
+    """Sends this entry's counts to its peers and receives theirs."""
 
     def __init__(
         self,
@@ -56,182 +56,194 @@
         loads: LoadTable,
         audience: Audience,
         cells: Cells,
-        word: Callable[[], Word],
+        get_status: Callable[[], Word],
     ) -> None:
-        """Speak through ``sock`` to the ``audience`` of each count.
+        """Create an exchange over ``sock`` with the peers in ``audience``.
 
-        ``word`` returns what is told of this entry.
+        ``get_status`` returns the status that this entry sends about itself.
         """
         self._sock = sock
         self._loads = loads
         self._audience = audience
         self._cells = cells
-        self._word = word
+        self._get_status = get_status
         self._on_loads: Callable[[], None] | None = None
-        self._news: dict[str, tuple[int, int]] = {}
+        self._announcements: dict[str, tuple[int, int]] = {}
         self._on_news: Callable[[str, int], None] | None = None
         self._on_word: Callable[[Target, Word], None] | None = None
-        self._on_said: dict[str, Callable[[Target, Any], None]] = {}
-        self._silent_s = float(0)
-        self._told: dict[str, Load] = {}
+        self._message_listeners: dict[str, Callable[[Target, Any], None]] = {}
+        self._since_repeat_s = float(0)
+        self._last_sent: dict[str, Load] = {}
         self._counts: dict[Target, dict[str, Load]] = {}
-        loads.on_rise(self._risen)
+        loads.on_increase(self._send_increase)
 
     def on_loads(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when a peer's counts have come."""
+        """Call ``listener`` after a peer's counts have been received."""
         self._on_loads = listener
 
     def on_word(self, listener: Callable[[Target, Word], None]) -> None:
-        """Call ``listener`` with a peer and its word of itself."""
+        """Call ``listener`` with a peer's address and the status it sent."""
         self._on_word = listener
 
     def on_news(self, listener: Callable[[str, int], None]) -> None:
-        """Call ``listener`` with what peers ``tell``."""
+        """Call ``listener`` with each announced subject and version."""
         self._on_news = listener
 
     def tell(self, subject: str, version: int) -> None:
-        """Let every peer know of a newer version of something."""
-        self._news[subject] = (version, NEWS_REPEATS)
-        everybody = self._audience.everybody()
-        self._sock.send(everybody, {NEWS: {subject: version}})
+        """Announce a version of ``subject`` to all peers, repeatedly."""
+        self._announcements[subject] = (version, ANNOUNCEMENT_REPEATS)
+        all_peers = self._audience.all_peers()
+        self._sock.send(all_peers, {ANNOUNCED: {subject: version}})
 
-    def say(self, topic: str, about: Any) -> None:
-        """Tell every peer something once."""
-        self._sock.send(self._audience.everybody(), {topic: about})
+    def broadcast(self, topic: str, payload: Any) -> None:
+        """Send a message on ``topic`` to all peers, once."""
+        self._sock.send(self._audience.all_peers(), {topic: payload})
 
-    def say_to(self, target: Target, topic: str, about: Any) -> None:
-        """Tell one peer something once."""
-        self._sock.send([target], {topic: about})
+    def send_to(self, target: Target, topic: str, payload: Any) -> None:
+        """Send a message on ``topic`` to one peer, once."""
+        self._sock.send([target], {topic: payload})
 
-    def on_said(
+    def on_message(
         self,
         topic: str,
         listener: Callable[[Target, Any], None],
     ) -> None:
-        """Call ``listener`` with a peer and what it says on a topic.
+        """Call ``listener`` with a peer and each message it sends on ``topic``.
 
-        It raises ValueError or TypeError for what it cannot read.
+        ``listener`` raises ValueError or TypeError for an unreadable message.
         """
-        self._on_said[topic] = listener
+        self._message_listeners[topic] = listener
 
     def start(self) -> None:
-        """Bind and begin to speak and to listen."""
+        """Bind the socket and start the greenlets that send and receive."""
         self._sock.bind()
-        spawn(Part.peers_heard, keep_doing, self._listen)
-        spawn(Part.peers_told, keep_doing, self._take_turn)
-
-    def _take_turn(self) -> None:
-        """Wait for this entry's turn; tell what has changed, or all."""
-        peers = len(self._audience.near())
-        period_s = max(MIN_PERIOD_S, peers * PERIOD_PER_PEER_S)
-        gevent.sleep(period_s)
-        self._silent_s += period_s
-        if self._silent_s >= REPEAT_S:
-            self._silent_s = 0
-            self._repeat()
+        spawn(Part.peers_heard, keep_doing, self._receive)
+        spawn(Part.peers_told, keep_doing, self._send_periodically)
+
+    def _send_periodically(self) -> None:
+        """Wait one interval, then send the changed counts or all counts."""
+        peers = len(self._audience.local_peers())
+        interval_s = max(MIN_SEND_INTERVAL_S, peers * SEND_INTERVAL_PER_PEER_S)
+        gevent.sleep(interval_s)
+        self._since_repeat_s += interval_s
+        if self._since_repeat_s >= REPEAT_INTERVAL_S:
+            self._since_repeat_s = 0
+            self._send_all()
         else:
-            self._tell_changes()
+            self._send_changes()
 
-    def _tell_changes(self) -> None:
+    def _send_changes(self) -> None:
         now = self._loads.all_own()
         changed = {
             key: now.get(key, NO_LOAD)
-            for key in set(now) | set(self._told)
-            if now.get(key) != self._told.get(key)
+            for key in set(now) | set(self._last_sent)
+            if now.get(key) != self._last_sent.get(key)
         }
-        self._told = now
-        self._tell(CHANGED, changed)
+        self._last_sent = now
+        self._send_counts(CHANGED, changed)
 
-    def _risen(self, life: str, kind: WorkKind) -> None:
-        """Tell of one more request or claim at a replica at once."""
+    def _send_increase(self, life: str, kind: WorkKind) -> None:
+        """Send the count of a replica at once after it has increased."""
         own = self._loads.own(life)
-        self._told[life] = own
-        self._tell(CHANGED, {life: own})
+        self._last_sent[life] = own
+        self._send_counts(CHANGED, {life: own})
 
-    def _repeat(self) -> None:
+    def _send_all(self) -> None:
         now = self._loads.all_own()
-        # Who is in the audience of these alone hears nothing else.
-        over = dict.fromkeys(self._told.keys() - now.keys(), NO_LOAD)
-        self._told = now
-        word = list(self._word())
-        news = self._repeated_news()
-        near = self._audience.near()
-        self._tell(ALL, {**over, **now}, near, {WORD: word, NEWS: news})
-        if news:
-            self._sock.send(self._audience.everybody() - near, {NEWS: news})
+        # Some peers receive only the counts of these replicas; without a zero
+        # they would keep the old counts.
+        ended = dict.fromkeys(self._last_sent.keys() - now.keys(), NO_LOAD)
+        self._last_sent = now
+        status = list(self._get_status())
+        repeats = self._take_repeats()
+        local_peers = self._audience.local_peers()
+        self._send_counts(
+            ALL,
+            {**ended, **now},
+            local_peers,
+            {STATUS: status, ANNOUNCED: repeats},
+        )
+        if repeats:
+            self._sock.send(
+                self._audience.all_peers() - local_peers, {ANNOUNCED: repeats}
+            )
         for target, offer in self._audience.offers():
-            self._sock.send([target], {OFFER: list(offer), WORD: word})
+            self._sock.send([target], {OFFER: list(offer), STATUS: status})
 
-    def _repeated_news(self) -> dict[str, int]:
-        """Return the news that is told again, once more for each."""
-        news = self._news
-        self._news = {
+    def _take_repeats(self) -> dict[str, int]:
+        """Return the announcements due for a repeat, and count the repeats."""
+        repeats = self._announcements
+        self._announcements = {
             subject: (version, left - 1)
-            for subject, (version, left) in news.items()
+            for subject, (version, left) in repeats.items()
             if left > 1
         }
-        return {subject: version for subject, (version, _) in news.items()}
+        return {subject: version for subject, (version, _) in repeats.items()}
 
-    def _tell(
+    def _send_counts(
         self,
         kind: str,
         loads: Mapping[str, Load],
-        near: Iterable[Target] = (),
-        more: Mapping[str, Any] = NOTHING,
+        local_peers: Iterable[Target] = (),
+        more: Mapping[str, Any] = EMPTY,
     ) -> None:
-        """Tell each count to its audience, and ``near`` peers ``more``."""
-        for group in self._audience.groups(loads, near):
+        """Send each count to its audience with ``more``.
+
+        Peers in ``local_peers`` receive ``more`` even if no count goes to them.
+        """
+        for group in self._audience.groups(loads, local_peers):
             counts = {life: loads[life] for life in group.lives}
-            self._sock.send(group.targets, {kind: _plain(counts), **more})
+            self._sock.send(group.targets, {kind: _encode(counts), **more})
 
-    def _listen(self) -> None:
+    def _receive(self) -> None:
         try:
-            self._take(*self._sock.receive())
+            self._handle(*self._sock.receive())
         except OSError as exc:
             logs.emit(events.PEER_UNREADABLE, error=repr(exc))
         except (ValueError, TypeError, AttributeError) as unreadable:
             logs.emit(events.PEER_UNREADABLE, error=repr(unreadable))
 
-    def _take(self, raw: bytes, sender: Target) -> None:
-        said = orjson.loads(raw)
-        for subject, version in said.get(NEWS, {}).items():
+    def _handle(self, raw: bytes, sender: Target) -> None:
+        message = orjson.loads(raw)
+        for subject, version in message.get(ANNOUNCED, {}).items():
             if self._on_news is not None:
                 self._on_news(subject, version)
-        for topic in said.keys() & self._on_said.keys():
-            self._on_said[topic](sender, said[topic])
-        offer = said.get(OFFER)
+        for topic in message.keys() & self._message_listeners.keys():
+            self._message_listeners[topic](sender, message[topic])
+        offer = message.get(OFFER)
         if offer is not None:
-            self._loads.heard_offer(offer_in(offer))
-        if ALL in said or CHANGED in said:
-            self._take_counts(said, sender)
-        if WORD in said and self._on_word is not None:
-            self._on_word(sender, Word(*said[WORD]))
-
-    def _take_counts(self, said: dict[str, Any], sender: Target) -> None:
-        """Take what a peer told of its own requests."""
-        counts = _counts(said.get(ALL) or said.get(CHANGED) or {})
-        if ALL not in said:
+            self._loads.set_offer(decode_offer(offer))
+        if ALL in message or CHANGED in message:
+            self._apply_counts(message, sender)
+        if STATUS in message and self._on_word is not None:
+            self._on_word(sender, Word(*message[STATUS]))
+
+    def _apply_counts(self, message: dict[str, Any], sender: Target) -> None:
+        """Apply the counts in a peer's message."""
+        counts = _decode(message.get(ALL) or message.get(CHANGED) or {})
+        if ALL not in message:
             counts = {**self._counts.get(sender, {}), **counts}
         counts = {key: load for key, load in counts.items() if load != NO_LOAD}
         name = f'{sender[0]}:{sender[1]}'
-        if counts or not self._cells.is_far(name):
+        if counts or not self._cells.is_remote(name):
             self._counts[sender] = counts
-            self._loads.heard(name, counts)
+            self._loads.set_peer_loads(name, counts)
         else:
-            # It repeats nothing while it has nothing here.
+            # A remote peer without requests here sends no repeats, so its
+            # counts need not be kept.
             self._counts.pop(sender, None)
             self._loads.forget(name)
         if self._on_loads is not None:
             self._on_loads()
 
 
-def _plain(loads: Mapping[str, Load]) -> dict[str, list[int]]:
+def _encode(loads: Mapping[str, Load]) -> dict[str, list[int]]:
     return {life: list(load) for life, load in loads.items()}
 
 
-def _counts(raw: dict[str, list[int]]) -> dict[str, Load]:
+def _decode(raw: dict[str, list[int]]) -> dict[str, Load]:
     return {key: Load(*pair) for key, pair in raw.items()}
 
 
 def tell_nobody(subject: str, version: int) -> None:
-    """Stand in for an exchange that is not there yet."""
+    """Do nothing, in place of ``PeerExchange.tell`` before there is one."""
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -1,4 +1,4 @@
-"""Entries ask each other about the limits of organisations, by datagram."""
+"""Requests between entries about organisations' limits, by datagram."""
 
 import itertools
 from typing import Any
@@ -19,17 +19,17 @@
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
 
-ASKED = 'limit_asked'
-TOLD = 'limit_told'
-GIVEN_BACK = 'limit_back'
-LEFT = 'limit_left'
-# A way to any availability zone and back takes under 10 ms; an entry on a
-# small host that is busy takes its time.
-ANSWER_S = 0.08
+REQUEST_TOPIC = 'limit_asked'
+RESPONSE_TOPIC = 'limit_told'
+RETURNED_TOPIC = 'limit_back'
+REMAINING_TOPIC = 'limit_left'
+# Timeout of a request in seconds. The round trip to any availability zone
+# takes less than 10 ms, but a busy entry on a small host responds later.
+RESPONSE_TIMEOUT_S = 0.08
 
 
 class LimitQuestions(Asker):
-    """Asks the homes of organisations, and answers as one."""
+    """Sends limit requests to owner entries and responds as an owner."""
 
     def __init__(
         self,
@@ -37,35 +37,43 @@
         home: LimitHome,
         homes: Homes,
     ) -> None:
-        """Speak and hear through ``peers``; answer with ``home``."""
+        """Send and receive through ``peers``; respond from ``home``."""
         self._peers = peers
         self._homes = homes
         self._home = home
         self._numbers = itertools.count()
-        self._open: dict[int, AsyncResult] = {}
-        peers.on_said(ASKED, self._hear_question)
-        peers.on_said(TOLD, self._hear_answer)
-        peers.on_said(GIVEN_BACK, self._hear_back)
-        peers.on_said(LEFT, self._hear_left)
-        home.on_counted(self._tell_left)
+        self._pending: dict[int, AsyncResult] = {}
+        peers.on_message(REQUEST_TOPIC, self._handle_request)
+        peers.on_message(RESPONSE_TOPIC, self._handle_response)
+        peers.on_message(RETURNED_TOPIC, self._handle_return)
+        peers.on_message(REMAINING_TOPIC, self._handle_remaining)
+        home.on_counted(self._send_remaining)
 
     def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
-        """Ask once and wait for the answer."""
+        """Send one request to an entry and wait for its response.
+
+        Returns None if the response does not arrive within RESPONSE_TIMEOUT_S.
+        """
         number = next(self._numbers)
-        answer: AsyncResult = AsyncResult()
-        self._open[number] = answer
+        response: AsyncResult = AsyncResult()
+        self._pending[number] = response
         name, limit, *more = asked
-        about = [number, name, list(limit), *more]
-        self._peers.say_to(parse_address(entry), ASKED, about)
+        payload = [number, name, list(limit), *more]
+        self._peers.send_to(parse_address(entry), REQUEST_TOPIC, payload)
         try:
-            return answer.wait(timeout=ANSWER_S)
+            return response.wait(timeout=RESPONSE_TIMEOUT_S)
         finally:
-            self._open.pop(number)
+            self._pending.pop(number)
 
     def has_ended(self, entry: str) -> bool:
-        """Tell whether a host refuses connections where an entry listens."""
+        """Return whether an entry's host refuses connections at its address.
+
+        An entry that is unreachable in another way may still be running.
+        """
         try:
-            sock = socket.create_connection(parse_address(entry), ANSWER_S)
+            sock = socket.create_connection(
+                parse_address(entry), RESPONSE_TIMEOUT_S
+            )
         except ConnectionRefusedError:
             return True
         except OSError:
@@ -74,47 +82,47 @@
         return False
 
     def give_back(self, entry: str, name: str) -> None:
-        """Tell an entry that a request it counted has not run."""
-        self._peers.say_to(parse_address(entry), GIVEN_BACK, name)
+        """Notify an entry that a request it counted has not run."""
+        self._peers.send_to(parse_address(entry), RETURNED_TOPIC, name)
 
-    def _hear_question(self, peer: Target, raw: Any) -> None:
-        """Answer a peer; raise ValueError or TypeError."""
+    def _handle_request(self, peer: Target, raw: Any) -> None:
+        """Respond to a peer's request; raises ValueError or TypeError."""
         number, *asked = raw
-        told = self._home.answer(_ask_in(*asked))
-        self._peers.say_to(peer, TOLD, [number, *told])
+        outcome = self._home.answer(_decode_request(*asked))
+        self._peers.send_to(peer, RESPONSE_TOPIC, [number, *outcome])
 
-    def _hear_answer(self, peer: Target, raw: Any) -> None:
+    def _handle_response(self, peer: Target, raw: Any) -> None:
         number, counted, wait_s = raw
-        answer = self._open.get(number)
-        if answer is not None:
-            answer.set(LimitTold(bool(counted), float(wait_s)))
+        response = self._pending.get(number)
+        if response is not None:
+            response.set(LimitTold(bool(counted), float(wait_s)))
 
-    def _tell_left(self, copy: LimitCopy) -> None:
-        """Tell who stands in for this entry what is left."""
+    def _send_remaining(self, copy: LimitCopy) -> None:
+        """Send the remaining tokens of an organisation to its backup owners."""
         name, limit, *more = copy
         for entry in self._homes.ranked(name)[1:]:
-            about = [name, list(limit), *more]
-            self._peers.say_to(parse_address(entry), LEFT, about)
+            payload = [name, list(limit), *more]
+            self._peers.send_to(parse_address(entry), REMAINING_TOPIC, payload)
 
-    def _hear_left(self, peer: Target, raw: Any) -> None:
-        """Take what a home has left; raise ValueError or TypeError."""
+    def _handle_remaining(self, peer: Target, raw: Any) -> None:
+        """Apply an owner's remaining tokens; raises ValueError or TypeError."""
         *asked, tokens = raw
-        found = _ask_in(*asked, stand_in=False, alone=False)
+        found = _decode_request(*asked, stand_in=False, alone=False)
         copy = LimitCopy(found.name, found.limit, found.version, float(tokens))
         self._home.copied(copy)
 
-    def _hear_back(self, peer: Target, raw: Any) -> None:
+    def _handle_return(self, peer: Target, raw: Any) -> None:
         self._home.give_back(str(raw))
 
 
-def _ask_in(
+def _decode_request(
     name: Any,
     limit: Any,
     version: Any,
     stand_in: Any,
     alone: Any,
 ) -> LimitAsk:
-    """Return what a peer asks; raise ValueError or TypeError."""
+    """Return a peer's limit request; raises ValueError or TypeError."""
     rate_per_s, burst = map(float, limit)
     return LimitAsk(
         str(name),
--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -1,49 +1,50 @@
-"""Entries tell each other under which requests replicas crash."""
+"""Exchanges strikes, the recorded crashes of replicas, between entries."""
 
 from collections.abc import Sequence
 from typing import Any
 
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
-from cactusridge.quarantine.strike import Pair, Stage, Strike
+from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.quarantine.strike_listener import StrikeListener
 from cactusridge.quarantine.suspects import Suspects
 
 STRIKES = 'strikes'
-WITHDRAWN = 'strikes_withdrawn'
+WITHDRAWALS = 'strikes_withdrawn'
 
 
 class PeerStrikes(StrikeListener):
-    """Tells every entry of a strike at once, with all those before it.
+    """Sends each new strike of this entry to all peers at once.
 
-    The caller may be at another entry within a moment. What a lost
-    datagram had is in the next one about the same request.
+    The caller may retry at another entry within a moment. Each datagram has
+    all strikes of the request, so that it makes up for datagrams that were
+    lost before.
     """
 
     def __init__(self, peers: PeerExchange, suspects: Suspects) -> None:
-        """Speak and hear through ``peers``."""
+        """Send and receive through ``peers``."""
         self._peers = peers
         self._suspects = suspects
-        peers.on_said(STRIKES, self._hear)
-        peers.on_said(WITHDRAWN, self._hear_withdrawn)
+        peers.on_message(STRIKES, self._handle_strikes)
+        peers.on_message(WITHDRAWALS, self._handle_withdrawals)
 
-    def struck(self, strikes: Sequence[Strike]) -> None:
-        """Tell of all strikes against one request."""
-        self._peers.say(STRIKES, [list(each) for each in strikes])
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
+        """Send all strikes of one request to all peers."""
+        self._peers.broadcast(STRIKES, [list(each) for each in strikes])
 
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Tell that strikes were taken back."""
-        self._peers.say(WITHDRAWN, [list(each) for each in pairs])
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
+        """Send the withdrawal of strikes to all peers."""
+        self._peers.broadcast(WITHDRAWALS, [list(each) for each in pairs])
 
-    def _hear(self, peer: Target, raw: Any) -> None:
-        """Take a peer's strikes; raise ValueError or TypeError."""
-        self._suspects.hear([_strike_in(each) for each in raw])
+    def _handle_strikes(self, peer: Target, raw: Any) -> None:
+        """Apply strikes from a peer; raises ValueError or TypeError."""
+        self._suspects.add_strikes([_decode_strike(each) for each in raw])
 
-    def _hear_withdrawn(self, peer: Target, raw: Any) -> None:
+    def _handle_withdrawals(self, peer: Target, raw: Any) -> None:
         pairs = [(str(found), str(life)) for found, life in raw]
-        self._suspects.hear_withdrawn(pairs)
+        self._suspects.apply_withdrawals(pairs)
 
 
-def _strike_in(raw: Any) -> Strike:
+def _decode_strike(raw: Any) -> Strike:
     fingerprint, life, stage, at = raw
     return Strike(str(fingerprint), str(life), Stage(stage), float(at))
--- a/cactusridge/quarantine/policies.py
+++ b/cactusridge/quarantine/policies.py
@@ -1,7 +1,7 @@
-"""The rules of quarantine by the names that start settings have for them."""
+"""The quarantine rules by their names in the start settings."""
 
 from types import MappingProxyType
 
-from cactusridge.quarantine.rules import ByCrashes, HoldNothing
+from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
 
-RULES = MappingProxyType({'by_crashes': ByCrashes, 'none': HoldNothing})
+RULES = MappingProxyType({'by_crashes': ByCrashes, 'none': NoQuarantine})
--- a/cactusridge/quarantine/rules.py
+++ b/cactusridge/quarantine/rules.py
@@ -1,62 +1,73 @@
-"""Which requests are held back, by the strikes against them."""
+"""Rules that decide from strikes which requests are quarantined."""
 
 import abc
 import itertools
 from collections.abc import Mapping
 
-from cactusridge.quarantine.strike import HELD_AT, POINTS, Stage, Strike
+from cactusridge.quarantine.strike import (
+    QUARANTINE_POINTS,
+    STAGE_POINTS,
+    Stage,
+    Strike,
+)
 
-# Strikes by the life of the replica, by fingerprint.
-Strikes = Mapping[str, Mapping[str, Strike]]
+# Strikes by fingerprint, then by incarnation key of the replica.
+StrikesByRequest = Mapping[str, Mapping[str, Strike]]
 
 
 class QuarantineRule(abc.ABC):
-    """Decides who is held back."""
+    """Decides which requests are quarantined."""
 
     @abc.abstractmethod
-    def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return the fingerprints that are held back now."""
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
+        """Return the fingerprints of the requests quarantined now."""
 
 
 class ByCrashes(QuarantineRule):
-    """Holds back what has crashed three replicas.
-
-    Answers requests that crash every replica that begins to run them and
-    come again and again. All that runs on such a replica breaks off with
-    it, long batch items and retried requests several times in a row. So
-    what has begun and brought nothing counts most, and a crash under a
-    request that is held back for certain counts against nobody else.
+    """Quarantines requests whose strikes reach a threshold of points.
+
+    The rule stops requests that crash every replica that starts to run them
+    and that callers keep sending. A crash also interrupts all other requests
+    on the replica, and a long batch item or a retried request can be
+    interrupted several times in a row. A strike of a request that had started
+    without output therefore counts most. A crash of a replica under a request
+    that is certainly a cause does not count against the other requests that
+    were there.
     """
 
-    def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return the causes that are certain, and what they leave open."""
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
+        """Return the certain causes and the suspects of all other crashes."""
         certain = frozenset(
-            found for found, lives in strikes.items() if _is_certain(lives)
+            fingerprint
+            for fingerprint, lives in strikes.items()
+            if _is_certain(lives)
         )
         explained = frozenset(
-            itertools.chain.from_iterable(strikes[found] for found in certain),
+            itertools.chain.from_iterable(
+                strikes[fingerprint] for fingerprint in certain
+            ),
         )
         suspected = frozenset(
-            found
-            for found, lives in strikes.items()
-            if _points(lives, explained) >= HELD_AT
+            fingerprint
+            for fingerprint, lives in strikes.items()
+            if _points(lives, explained) >= QUARANTINE_POINTS
         )
         return certain | suspected
 
 
-class HoldNothing(QuarantineRule):
-    """Naive: every request is run, whatever it has done."""
+class NoQuarantine(QuarantineRule):
+    """Naive rule: quarantines no request, whatever crashes it caused."""
 
-    def held(self, strikes: Strikes) -> frozenset[str]:
-        """Return that nothing is held back."""
+    def quarantined(self, strikes: StrikesByRequest) -> frozenset[str]:
+        """Return an empty set."""
         return frozenset()
 
 
 def _is_certain(lives: Mapping[str, Strike]) -> bool:
     begun = [each for each in lives.values() if each.stage == Stage.begun]
-    return len(begun) * POINTS[Stage.begun] >= HELD_AT
+    return len(begun) * STAGE_POINTS[Stage.begun] >= QUARANTINE_POINTS
 
 
 def _points(lives: Mapping[str, Strike], explained: frozenset[str]) -> int:
-    open_ones = lives.keys() - explained
-    return sum(lives[life].points for life in open_ones)
+    unexplained = lives.keys() - explained
+    return sum(lives[life].points for life in unexplained)
--- a/cactusridge/quarantine/strike_listener.py
+++ b/cactusridge/quarantine/strike_listener.py
@@ -1,18 +1,18 @@
-"""Who passes on what one entry has found out about requests."""
+"""The interface for objects that publish the strikes of one entry."""
 
 import abc
 from collections.abc import Sequence
 
-from cactusridge.quarantine.strike import Pair, Strike
+from cactusridge.quarantine.strike import Strike, StrikePair
 
 
 class StrikeListener(abc.ABC):
-    """Is told of what this entry itself has seen."""
+    """Is notified of the strikes and withdrawals of this entry itself."""
 
     @abc.abstractmethod
-    def struck(self, strikes: Sequence[Strike]) -> None:
-        """Pass on all strikes known against one request."""
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
+        """Publish all known strikes of one request."""
 
     @abc.abstractmethod
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Pass on that strikes were taken back."""
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
+        """Publish the withdrawal of strikes."""
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -1,4 +1,4 @@
-"""Keeps strikes in the store, for entries that start or come back later."""
+"""Keeps strikes in the store for entries that start or reconnect later."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,11 +8,11 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.quarantine.strike import Pair, Strike
-from cactusridge.quarantine.strike_book import STRIKE_LASTS_S
+from cactusridge.quarantine.strike import Strike, StrikePair
+from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_listener import StrikeListener
 from cactusridge.quarantine.strike_row import (
-    strike_in,
+    decode_strike,
     strike_key,
     strike_write,
 )
@@ -21,16 +21,16 @@
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
 from cactusridge.store.table_follower import TableListener
 
-# Rows in one transaction; the store takes a hundred.
-MAX_WRITES = 90
+# Rows written in one transaction; the store accepts at most 100.
+MAX_WRITES_PER_TRANSACTION = 90
 RETRY_S = 0.5
 
 
 class StrikeStore(StrikeListener, TableListener):
-    """Writes this entry's strikes and takes in those of all.
+    """Writes the strikes of this entry and reads those of all entries.
 
-    A strike whose row is gone counts no more: another entry has taken it
-    back, or an operator has removed it.
+    A strike whose row has been removed no longer counts: another entry has
+    withdrawn it, or an operator has deleted it.
     """
 
     def __init__(
@@ -41,7 +41,10 @@
         clock: Clock,
         least: int,
     ) -> None:
-        """Store below ``prefix`` the requests that have ``least`` strikes."""
+        """Keep strikes below ``prefix`` of ``table``.
+
+        Only strikes of requests with at least ``least`` of them are stored.
+        """
         self._table = table
         self._prefix = prefix
         self._suspects = suspects
@@ -50,40 +53,41 @@
         self._reader = RowReader()
         self._wake = Event()
         self._unsaved: dict[str, Write] = {}
-        self._stored: dict[str, Pair] = {}
+        self._stored: dict[str, StrikePair] = {}
 
-    def struck(self, strikes: Sequence[Strike]) -> None:
-        """Store the strikes against a request, if they are enough."""
+    def publish_strikes(self, strikes: Sequence[Strike]) -> None:
+        """Store the strikes of a request if there are enough of them."""
         if len(strikes) >= self._least:
             writes = [strike_write(self._prefix, each) for each in strikes]
             self._save(each for each in writes if each.key not in self._stored)
 
-    def withdrawn(self, pairs: Sequence[Pair]) -> None:
-        """Remove strikes from the store, where they are in it."""
+    def publish_withdrawals(self, pairs: Sequence[StrikePair]) -> None:
+        """Remove withdrawn strikes from the store if it has them."""
         keys = [strike_key(self._prefix, pair) for pair in pairs]
         for key in keys:
             self._unsaved.pop(key, None)
         self._save(Write(key, None) for key in keys if key in self._stored)
 
     def put(self, row: Row) -> None:
-        """Take a row; raise UnreadableRecord."""
-        strike = self._reader.read(row, strike_in)
+        """Apply a row that was read; raises UnreadableRecord."""
+        strike = self._reader.read(row, decode_strike)
         if strike is None:
             self._forget({row.key})
             return
         self._stored[row.key] = strike.pair
-        self._suspects.hear([strike])
-        over = strike.at + STRIKE_LASTS_S <= self._clock.wall()
-        if over or self._suspects.is_withdrawn(strike.pair):
-            # Nobody needs it any more, or its removal was overtaken.
+        self._suspects.add_strikes([strike])
+        expired = strike.at + STRIKE_LIFETIME_S <= self._clock.wall()
+        if expired or self._suspects.is_withdrawn(strike.pair):
+            # The strike has expired, or the write that stored it was applied
+            # after its removal.
             self._save([Write(row.key, None)])
 
     def keep_only(self, keys: set[str]) -> None:
-        """Forget the strikes whose rows are gone."""
+        """Discard the strikes whose rows no longer exist."""
         self._forget(self._stored.keys() - keys)
 
     def step(self) -> None:
-        """Wait for something to write, then write it."""
+        """Wait for pending writes, then write them; back off on failure."""
         self._wake.wait()
         self._wake.clear()
         try:
@@ -100,7 +104,7 @@
 
     def _write_all(self) -> None:
         while self._unsaved:
-            writes = list(self._unsaved.values())[:MAX_WRITES]
+            writes = list(self._unsaved.values())[:MAX_WRITES_PER_TRANSACTION]
             self._table.transact([], writes, Priority.commit)
             for write in writes:
                 if self._unsaved.get(write.key) is write:
@@ -108,4 +112,4 @@
 
     def _forget(self, keys: Iterable[str]) -> None:
         pairs = [self._stored.pop(key) for key in keys if key in self._stored]
-        self._suspects.hear_withdrawn(pairs)
+        self._suspects.apply_withdrawals(pairs)
--- a/cactusridge/routing/outliers.py
+++ b/cactusridge/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Ejects replicas that fail or are slow, and lets them back by trials."""
+"""Ejects failing or slow replicas and readmits them after trial requests."""
 
 import abc
 import statistics
@@ -9,46 +9,51 @@
 from cactusridge import events, logs, metrics
 from cactusridge.clock import Clock
 
-FAILURES = 3
+FAILURES_TO_EJECT = 3
 SLOW_FACTOR = 3
 MIN_SAMPLES = 8
-FIRST_PAUSE_S = 2
-MAX_PAUSE_S = 30
-MAX_SHARE = 0.5
-TRIALS = 2
+FIRST_EJECTION_S = 2
+MAX_EJECTION_S = 30
+MAX_EJECTED_SHARE = 0.5
+TRIAL_REQUESTS = 2
 MAX_TRACKED = 4096
 
 
 class Health(NamedTuple):
-    """What is known of one replica from its answers."""
+    """The health of one replica as its responses show it.
+
+    ``pace_s`` is the last pace in seconds per token, ``pause_s`` the length of
+    the next ejection in seconds, ``ejected_until`` a monotonic time, and
+    ``trials`` the number of trial requests that must still succeed.
+    """
 
     failures: int = 0
     pace_s: float = 0
     samples: int = 0
-    pause_s: float = FIRST_PAUSE_S
+    pause_s: float = FIRST_EJECTION_S
     ejected_until: float = 0
     trials: int = 0
 
 
 class OutlierDetector(abc.ABC):
-    """Says which replicas may be chosen."""
+    """Decides which replicas may be chosen."""
 
     @abc.abstractmethod
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Note an answer of a replica whose pace is ``pace_s`` a token.
+        """Record a response of a replica with a pace of ``pace_s``.
 
-        The pace is the engine's, not the caller's wait: a queue says
-        that there is much to do, not that the replica is bad. 0 means
-        that there is none, as with plain services.
+        The pace is the engine's time per token in seconds, without the time in
+        a queue: a long queue means much work and not a bad replica. Plain
+        services have no pace; it is 0 for them.
         """
 
     @abc.abstractmethod
     def failed(self, key: str, certain: bool = False) -> None:
-        """Note a failure; ``certain`` if no request can have caused it."""
+        """Record a failure; ``certain`` if no request can have caused it."""
 
     @abc.abstractmethod
     def forget(self, key: str) -> None:
-        """Drop what is known of a replica that is over for good."""
+        """Discard the health of a replica incarnation that has ended."""
 
     @abc.abstractmethod
     def allowed(self, keys: Iterable[str]) -> set[str]:
@@ -56,39 +61,42 @@
 
 
 class TrustAll(OutlierDetector):
-    """Naive: every replica is as good as the next."""
+    """Naive detector: never ejects a replica."""
 
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Pass over the answer."""
+        """Ignore the response."""
 
     def failed(self, key: str, certain: bool = False) -> None:
-        """Pass over the failure."""
+        """Ignore the failure."""
 
     def forget(self, key: str) -> None:
-        """There is nothing to drop."""
+        """Do nothing, since no health is kept."""
 
     def allowed(self, keys: Iterable[str]) -> set[str]:
-        """Return all of them."""
+        """Return all ``keys``."""
         return set(keys)
 
 
 class OutlierEjector(OutlierDetector):
-    """Ejects after failures in a row or at a multiple of the median pace.
+    """Ejects on consecutive failures or a pace far above the median.
 
-    At most half of the replicas are out at once. After a pause a
-    replica gets a few trial requests; only their success brings it back.
+    At most half of the replicas are excluded at once. After its ejection a
+    replica gets a few trial requests; only their success readmits it.
     """
 
     def __init__(
         self,
         clock: Clock,
-        failures: int = FAILURES,
-        first_pause_s: float = FIRST_PAUSE_S,
-        max_pause_s: float = MAX_PAUSE_S,
+        failures: int = FAILURES_TO_EJECT,
+        first_pause_s: float = FIRST_EJECTION_S,
+        max_pause_s: float = MAX_EJECTION_S,
     ) -> None:
-        """Start with every replica trusted.
+        """Create a detector that has ejected no replica.
 
-        ``failures`` in a row eject; pauses, in seconds, double.
+        ``failures`` is the number of consecutive failures that eject a
+        replica. The first ejection lasts ``first_pause_s`` seconds. Each
+        further one before the replica is readmitted lasts twice as long, up to
+        ``max_pause_s``.
         """
         self._clock = clock
         self._failures = failures
@@ -97,13 +105,13 @@
         self._health: OrderedDict[str, Health] = OrderedDict()
 
     def succeeded(self, key: str, pace_s: float) -> None:
-        """Note an answer of a replica whose pace is ``pace_s`` a token.
+        """Record a response of a replica with a pace of ``pace_s``.
 
-        The pace is the engine's, not the caller's wait: a queue says
-        that there is much to do, not that the replica is bad. 0 means
-        that there is none, as with plain services.
+        The pace is the engine's time per token in seconds, without the time in
+        a queue: a long queue means much work and not a bad replica. Plain
+        services have no pace; it is 0 for them.
         """
-        old = self._health.get(key, self._unknown())
+        old = self._health.get(key, self._new_health())
         health = old._replace(
             failures=0,
             pace_s=pace_s,
@@ -115,45 +123,49 @@
                 pause_s=self._first_pause_s,
                 ejected_until=0,
             )
-        self._keep(key, health)
+        self._store_health(key, health)
         if health.samples >= MIN_SAMPLES and self._is_slow(key):
             self._eject(key)
 
     def failed(self, key: str, certain: bool = False) -> None:
-        """Note a failure; a certain one, or a failed trial, ejects at once."""
-        old = self._health.get(key, self._unknown())
-        self._keep(key, old._replace(failures=old.failures + 1))
+        """Record a failure.
+
+        A certain failure or a failed trial request ejects the replica at once.
+        """
+        old = self._health.get(key, self._new_health())
+        self._store_health(key, old._replace(failures=old.failures + 1))
         if certain or old.trials or old.failures + 1 >= self._failures:
             self._eject(key)
 
     def forget(self, key: str) -> None:
-        """Drop what is known of a replica that is over for good."""
+        """Discard the health of a replica incarnation that has ended."""
         self._health.pop(key, None)
 
     def allowed(self, keys: Iterable[str]) -> set[str]:
         """Return those of ``keys`` that may be chosen now."""
-        known = set(keys)
-        out = {key for key in known if self._is_out(key)}
-        bound = int(len(known) * MAX_SHARE)
-        # Over the floor, those that come back soonest are let in.
+        given = set(keys)
+        ejected = {key for key in given if self._is_ejected(key)}
+        max_ejected = int(len(given) * MAX_EJECTED_SHARE)
+        # If more than MAX_EJECTED_SHARE of the replicas are ejected, those
+        # whose ejection ends first are allowed nevertheless.
         by_return = sorted(
-            out,
+            ejected,
             key=lambda key: self._health[key].ejected_until,
         )
-        spared = by_return[: max(0, len(out) - bound)]
-        return known - out | set(spared)
+        readmitted = by_return[: max(0, len(ejected) - max_ejected)]
+        return given - ejected | set(readmitted)
 
-    def _unknown(self) -> Health:
+    def _new_health(self) -> Health:
         return Health(pause_s=self._first_pause_s)
 
-    def _keep(self, key: str, health: Health) -> None:
+    def _store_health(self, key: str, health: Health) -> None:
         self._health[key] = health
         self._health.move_to_end(key)
         if len(self._health) > MAX_TRACKED:
-            # The one not heard of for longest is long gone.
+            # The least recently updated replica has probably ended long ago.
             self._health.popitem(last=False)
 
-    def _is_out(self, key: str) -> bool:
+    def _is_ejected(self, key: str) -> bool:
         health = self._health.get(key)
         if health is None:
             return False
@@ -184,7 +196,7 @@
             failures=0,
             pace_s=0,
             samples=0,
-            trials=TRIALS,
+            trials=TRIAL_REQUESTS,
             ejected_until=self._clock.monotonic() + old.pause_s,
             pause_s=min(self._max_pause_s, old.pause_s * 2),
         )
--- a/cactusridge/routing/pickers.py
+++ b/cactusridge/routing/pickers.py
@@ -1,4 +1,4 @@
-"""Choice of a replica; the naive ways stand beside the one in use."""
+"""Policies that select a replica, including naive ones for comparison."""
 
 import abc
 import itertools
@@ -11,11 +11,11 @@
 from cactusridge.routing.candidates import Candidate, PickRequest, load_of
 
 AFFINITY_REQUESTS = 1
-DRAWN = 4
+SAMPLE_SIZE = 4
 
 
 class ReplicaPicker(abc.ABC):
-    """Chooses one of the candidates."""
+    """Selects one of the candidates."""
 
     @abc.abstractmethod
     def pick(
@@ -27,10 +27,10 @@
 
 
 class RoundRobinPicker(ReplicaPicker):
-    """Naive: one after the other, whatever their load."""
+    """Naive policy: selects replicas in turn, whatever their load."""
 
     def __init__(self) -> None:
-        """Start at the first."""
+        """Start with the first candidate."""
         self._turn = itertools.count()
 
     def pick(
@@ -38,15 +38,19 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the next replica in turn."""
+        """Return the next candidate in turn."""
         return candidates[next(self._turn) % len(candidates)]
 
 
 class LeastOfFewPicker(ReplicaPicker):
-    """The least loaded of a few at random, in the same zone if not dearer."""
+    """Selects the least loaded of a few candidates drawn at random.
+
+    The candidates are those in the zone of the entry, unless a candidate in
+    another zone has a lower load than all of them.
+    """
 
     def __init__(self, rng: random.Random) -> None:
-        """Draw from ``rng``."""
+        """Draw candidates with ``rng``."""
         self._rng = rng
 
     def pick(
@@ -54,34 +58,35 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the least loaded of those drawn from the zone or from all."""
-        return self._least_loaded(self._zone_first(candidates, request.zone))
+        """Return the least loaded of the candidates drawn."""
+        return self._least_loaded(self._prefer_zone(candidates, request.zone))
 
-    def _zone_first(
+    def _prefer_zone(
         self,
         candidates: Sequence[Candidate],
         zone: str,
     ) -> Sequence[Candidate]:
-        near = [each for each in candidates if each.zone == zone]
-        far = [each for each in candidates if each.zone != zone]
-        if not near or not far:
+        same_zone = [each for each in candidates if each.zone == zone]
+        other_zones = [each for each in candidates if each.zone != zone]
+        if not same_zone or not other_zones:
             return candidates
-        least_near = min(map(load_of, near))
-        least_far = min(map(load_of, far))
-        return near if least_near <= least_far else candidates
+        least_in_zone = min(map(load_of, same_zone))
+        least_elsewhere = min(map(load_of, other_zones))
+        return same_zone if least_in_zone <= least_elsewhere else candidates
 
     def _least_loaded(self, candidates: Sequence[Candidate]) -> Candidate:
-        drawn = self._rng.sample(candidates, min(DRAWN, len(candidates)))
+        drawn = self._rng.sample(candidates, min(SAMPLE_SIZE, len(candidates)))
         return min(drawn, key=load_of)
 
 
 class PrefixPicker(LeastOfFewPicker):
-    """Keeps prompts of one prefix together while that costs no wait.
+    """Sends prompts with the same prefix to one replica while it has room.
 
-    Rendezvous hashing ranks the replicas for a prefix; the first whose
-    load is within a bound of the mean is taken, so that a hot prefix
-    spreads over as many replicas as it needs. What is cached where is
-    never asked: a wrong guess costs one prefill.
+    Rendezvous hashing ranks the replicas for a prefix. The first replica in
+    the ranking whose load is at most AFFINITY_REQUESTS requests above the
+    lowest load is selected, so that a frequent prefix spreads over as many
+    replicas as it needs. The picker does not query which prefixes a replica
+    has cached: a wrong guess costs one prefill.
     """
 
     def pick(
@@ -89,7 +94,7 @@
         candidates: Sequence[Candidate],
         request: PickRequest,
     ) -> Candidate:
-        """Return the best ranked replica that is not overloaded."""
+        """Return the highest ranked replica that is not overloaded."""
         if not request.prefix:
             return super().pick(candidates, request)
         loads = {each.key: load_of(each) for each in candidates}
@@ -97,16 +102,17 @@
         bound = loads[least.key] + AFFINITY_REQUESTS / max(1, least.limit)
         ranked = sorted(
             candidates,
-            key=lambda each: _weight(request.prefix, each.key),
+            key=lambda each: _prefix_rank(request.prefix, each.key),
         )
         all_full = loads[least.key] >= 1
         for candidate in ranked:
             load = loads[candidate.key]
-            # With a free slot elsewhere, one without is a wait.
+            # A replica without a free slot would make the request wait
+            # although another replica has one.
             if load <= bound and (load < 1 or all_full):
                 return candidate
         return super().pick(candidates, request)
 
 
-def _weight(prefix: bytes, key: str) -> int:
+def _prefix_rank(prefix: bytes, key: str) -> int:
     return hash64(key, xxhash.xxh64_intdigest(prefix))
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -176,7 +176,7 @@
         """Return the response after delays of both datagrams, in seconds."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
-        loads.heard('127.0.0.1:9', {})
+        loads.set_peer_loads('127.0.0.1:9', {})
         here, there = Wire(), Wire()
         asker = KeyQuestions(here, loads, FixedKeySource(None), clock)
         KeyQuestions(there, loads, FixedKeySource(known), clock)
@@ -198,7 +198,7 @@
         """A request to a peer that does not respond returns None."""
         clock = ManualClock(50)
         loads = LoadTable(clock)
-        loads.heard('127.0.0.1:9', {})
+        loads.set_peer_loads('127.0.0.1:9', {})
         asker = KeyQuestions(Wire(), loads, FixedKeySource(None), clock)
         self.assertIsNone(asker.ask())
 
