--- a/cactusridge/sidecar/__init__.py
+++ b/cactusridge/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside an upstream host; the only way to its upstreams."""
+"""The sidecar: it runs on each host and admits all requests to upstreams."""
--- a/cactusridge/sidecar/answer_bodies.py
+++ b/cactusridge/sidecar/answer_bodies.py
@@ -1,4 +1,4 @@
-"""Reads the bodies of an upstream's answers to their whole end."""
+"""Reads the bodies of upstream responses and detects truncated ones."""
 
 from collections.abc import Iterator
 from http.client import HTTPConnection, HTTPException, HTTPResponse
@@ -14,7 +14,11 @@
 
 
 def read_events(resp: HTTPSocketPoolResponse) -> Iterator[bytes]:
-    """Yield server-sent events; raise TruncatedReply without the last."""
+    """Yield server-sent events from a streamed response.
+
+    Raises TruncatedReply if the connection breaks or if the stream ends
+    without the ``data: [DONE]`` event.
+    """
     last = b''
     try:
         with resp:
@@ -22,31 +26,38 @@
                 last = event
                 yield event
     except IO_ERRORS as exc:
-        raise TruncatedReply(f'the stream broke: {exc!r}') from exc
+        raise TruncatedReply(f'reading the stream failed: {exc!r}') from exc
     if not last.startswith(STREAM_END):
-        raise TruncatedReply('the stream ended without [DONE]')
+        raise TruncatedReply('the stream ended without its [DONE] event')
 
 
 def read_blocks(resp: HTTPSocketPoolResponse) -> Iterator[bytes]:
-    """Yield a body of stated length; raise TruncatedReply."""
+    """Yield a body in blocks of up to ``READ_BLOCK`` bytes.
+
+    Raises TruncatedReply if the connection breaks before the end.
+    """
     try:
         with resp:
             while block := resp.read(READ_BLOCK):
                 yield block
     except IO_ERRORS as exc:
-        raise TruncatedReply(f'the body broke: {exc!r}') from exc
+        raise TruncatedReply(f'reading the body failed: {exc!r}') from exc
 
 
 def read_available(
     conn: HTTPConnection,
     resp: HTTPResponse,
 ) -> Iterator[bytes]:
-    """Yield a body as it comes, then close; raise TruncatedReply."""
+    """Yield each part of a body as it arrives, then close ``conn``.
+
+    Raises TruncatedReply if the connection breaks, or if it ends before
+    Content-Length bytes were read.
+    """
     try:
         while block := resp.read1(READ_BLOCK):
             yield block
     except IO_ERRORS as exc:
-        raise TruncatedReply(f'the body broke: {exc!r}') from exc
+        raise TruncatedReply(f'reading the body failed: {exc!r}') from exc
     finally:
         conn.close()
     if resp.length:
--- a/cactusridge/sidecar/app.py
+++ b/cactusridge/sidecar/app.py
@@ -1,4 +1,4 @@
-"""The sidecar's HTTP interface to entries."""
+"""The HTTP interface that a sidecar offers to entries."""
 
 import secrets
 from collections.abc import Iterator
@@ -40,10 +40,13 @@
 
 
 class Sidecar:
-    """All that one sidecar holds; none of it outlives the process."""
+    """The state and the HTTP handlers of one sidecar process.
+
+    All state is in memory and is lost when the process ends.
+    """
 
     def __init__(self, cfg: SidecarSettings, clock: Clock) -> None:
-        """Start with a new incarnation and no memory of an old one."""
+        """Create a new incarnation id and empty state for ``cfg.upstreams``."""
         self.cfg = cfg
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.draining = False
@@ -57,18 +60,18 @@
         self.app = App(self._routes(), cfg.max_body_bytes, cfg.body_timeout_s)
 
     def begin_drain(self) -> None:
-        """Take no new work from now on."""
+        """Refuse new orders from now on; running orders continue."""
         self.draining = True
         for lane in self.lanes.values():
             lane.draining = True
 
     def tick(self) -> None:
-        """Let every gate look again at what it may admit."""
+        """Let every gate admit the waiting orders that its limits now allow."""
         for lane in self.lanes.values():
             lane.gate.tick()
 
     def report(self) -> SidecarReport:
-        """Return what entries need to know."""
+        """Return the load and state of this sidecar, as sent to entries."""
         return SidecarReport(
             incarnation=self.incarnation,
             draining=self.draining,
@@ -77,7 +80,7 @@
         )
 
     def run(self, req: Req) -> Reply:
-        """Answer ``POST /internal/run`` with frames."""
+        """Handle ``POST /internal/run``: run an order, stream its frames."""
         self._check_secret(req)
         order, body = parse_order(req.body())
         try:
@@ -88,13 +91,18 @@
         return _frames_reply(run.frames(self.cfg.heartbeat_s))
 
     def probe(self, req: Req) -> Reply:
-        """Answer ``POST /internal/probe`` with the report."""
+        """Handle ``POST /internal/probe``: return the report."""
         self._check_secret(req)
         parse_message(Probe, req.body())
         return json_reply(self.report())
 
     def tombstone(self, req: Req) -> Reply:
-        """Answer whether an order ran; keep it from running if not."""
+        """Handle ``POST /internal/tombstone``.
+
+        Returns the report with a verdict on whether the order has run. An
+        order that has not run is blocked from running later. An order for
+        another incarnation gets the verdict ``unknown``.
+        """
         self._check_secret(req)
         order = parse_message(TombstoneOrder, req.body())
         verdict = Verdict.unknown
@@ -105,7 +113,7 @@
         return json_reply(report)
 
     def settings(self, req: Req) -> Reply:
-        """Apply pushed settings if they are newer than those in force."""
+        """Handle ``POST /internal/settings``: apply settings if newer."""
         self._check_secret(req)
         push = parse_message(SettingsPush, req.body())
         if push.version > self.settings_version:
@@ -113,17 +121,22 @@
         return json_reply(self.report())
 
     def livez(self, req: Req) -> Reply:
-        """Answer that the process runs."""
+        """Handle ``GET /livez``: always reply 200."""
         return json_reply({'status': 'live'})
 
     def readyz(self, req: Req) -> Reply:
-        """Answer whether new work is taken."""
+        """Handle ``GET /readyz``; raise Draining while the sidecar drains."""
         if self.draining:
             raise Draining
         return json_reply({'status': 'ready'})
 
     def _admit(self, order: RunOrder) -> Lane:
-        """Return the lane for ``order``, noted in the ledger, or refuse."""
+        """Record ``order`` in the ledger and return its upstream's lane.
+
+        Raises NotFound for an unknown service, Draining, StaleOrder for
+        another incarnation, an outdated fencing number or a repeated id,
+        and Tombstoned.
+        """
         lane = self._lane(order.service)
         if self.draining:
             raise Draining
@@ -135,6 +148,7 @@
         return lane
 
     def _refusal(self, exc: CactusridgeError, order_id: str) -> Iterator[bytes]:
+        """Yield the frames of a refusal, which always include the report."""
         yield frames.encode(refusal_frame(exc))
         yield frames.encode(end_frame(order_id, self.report()))
 
@@ -161,7 +175,7 @@
     def _lane(self, service: str) -> Lane:
         lane = self.lanes.get(service)
         if lane is None:
-            raise NotFound(f'no upstream of {service} is on this host')
+            raise NotFound(f'this host has no upstream of service {service}')
         return lane
 
     def _check_secret(self, req: Req) -> None:
--- a/cactusridge/sidecar/controllers.py
+++ b/cactusridge/sidecar/controllers.py
@@ -1,4 +1,4 @@
-"""How much batch work may run beside online requests."""
+"""Limits on the batch requests that run alongside online requests."""
 
 import abc
 from collections import deque
@@ -7,63 +7,67 @@
 from cactusridge.clock import Clock
 from cactusridge.settings.schema import ObjectiveSettings
 
-PERIOD_S = 0.25
-SAMPLES = 64
+ADJUST_INTERVAL_S = 0.25
+MAX_SAMPLES = 64
 PERCENTILE = 0.95
-CUT = 0.5
-GROWTH_PERIODS = 8
-PEAK_S = 0.75
+DECREASE_FACTOR = 0.5
+GROWTH_STEPS = 8
+PEAK_WINDOW_S = 0.75
 
 
 class OnlineLoad(NamedTuple):
-    """Online requests at an upstream now."""
+    """The numbers of online requests that run and wait at an upstream."""
 
     running: int
     waiting: int
 
 
 class BatchController(abc.ABC):
-    """Decides the number of batch requests that may be at the upstream."""
+    """Sets how many batch requests may run at an upstream at once."""
 
     @abc.abstractmethod
     def first_token(self, seconds: float) -> None:
-        """Take one observed time to the first token of online work."""
+        """Record an online request's time to first token, in seconds."""
 
     @abc.abstractmethod
     def between_tokens(self, seconds: float) -> None:
-        """Take one observed time between tokens of online work."""
+        """Record an online request's time between tokens, in seconds."""
 
     @abc.abstractmethod
     def limit(self, load: OnlineLoad) -> int:
-        """Return how many batch requests may run beside ``load``."""
+        """Return how many batch requests may run alongside ``load``."""
 
 
 class FillController(BatchController):
-    """Naive: batch takes every free slot, whatever online feels."""
+    """Baseline policy that lets batch requests use every free slot.
+
+    It ignores the latency of online requests.
+    """
 
     def __init__(self, slots: int) -> None:
-        """Fill ``slots``."""
+        """Allow up to ``slots`` requests in total."""
         self._slots = slots
 
     def first_token(self, seconds: float) -> None:
-        """Pass over the observation."""
+        """Ignore the observation."""
 
     def between_tokens(self, seconds: float) -> None:
-        """Pass over the observation."""
+        """Ignore the observation."""
 
     def limit(self, load: OnlineLoad) -> int:
-        """Return the free slots."""
+        """Return the number of slots that online requests leave free."""
         return max(0, self._slots - load.running)
 
 
 class ObjectiveController(BatchController):
-    """Grows batch while online is well inside its objective.
-
-    Halves the level when the 95th percentile of a quarter second's
-    observations uses up more than ``share`` of the objective, adds an
-    eighth of the slots otherwise. Slots that online used in the last
-    moments are kept free, so that a full engine is not filled and
-    emptied again between two online requests.
+    """Adapts the batch limit to the latency of online requests.
+
+    The level is adjusted every quarter second. It is halved when the 95th
+    percentile of the latencies observed since the last adjustment exceeds
+    ``share`` of the latency objective, and otherwise grows by an eighth of
+    the slots. As many slots as online requests used at peak in the last
+    ``PEAK_WINDOW_S`` seconds stay reserved for them, so that batch requests
+    are not started and preempted between two online requests.
     """
 
     def __init__(
@@ -73,54 +77,60 @@
         share: float,
         clock: Clock,
     ) -> None:
-        """Start with all slots open to batch."""
+        """Start with a level that allows batch requests on all slots."""
         self._slots = slots
         self._objective = objective
         self.share = share
         self._clock = clock
         self._level = float(slots)
-        self._use: deque[float] = deque(maxlen=SAMPLES)
-        self._changed_at = clock.monotonic()
+        self._objective_shares: deque[float] = deque(maxlen=MAX_SAMPLES)
+        self._adjusted_at = clock.monotonic()
         self._peaks: deque[tuple[float, int]] = deque()
 
     def first_token(self, seconds: float) -> None:
-        """Take one observed time to the first token of online work."""
-        self._use.append(seconds / self._objective.first_token_s)
+        """Record an online request's time to first token, in seconds."""
+        self._objective_shares.append(seconds / self._objective.first_token_s)
 
     def between_tokens(self, seconds: float) -> None:
-        """Take one observed time between tokens of online work."""
-        self._use.append(seconds / self._objective.between_tokens_s)
+        """Record an online request's time between tokens, in seconds."""
+        self._objective_shares.append(
+            seconds / self._objective.between_tokens_s
+        )
 
     def limit(self, load: OnlineLoad) -> int:
-        """Return how many batch requests may run beside ``load``."""
+        """Return how many batch requests may run alongside ``load``."""
         self._adjust()
         if load.waiting:
             return 0
-        kept_free = self._recent_peak(load)
-        return max(0, min(int(self._level), self._slots - kept_free))
+        reserved = self._recent_peak(load)
+        return max(0, min(int(self._level), self._slots - reserved))
 
     def _adjust(self) -> None:
         now = self._clock.monotonic()
-        if now - self._changed_at < PERIOD_S:
+        if now - self._adjusted_at < ADJUST_INTERVAL_S:
             return
-        self._changed_at = now
-        if self._use and self._worst() > self.share:
-            self._level = max(1, self._level * CUT)
+        self._adjusted_at = now
+        if self._objective_shares and self._high_percentile() > self.share:
+            self._level = max(1, self._level * DECREASE_FACTOR)
         else:
-            step = max(1, self._slots / GROWTH_PERIODS)
+            step = max(1, self._slots / GROWTH_STEPS)
             self._level = min(self._slots, self._level + step)
-        self._use.clear()
+        self._objective_shares.clear()
 
-    def _worst(self) -> float:
-        ranked = sorted(self._use)
+    def _high_percentile(self) -> float:
+        ranked = sorted(self._objective_shares)
         return ranked[min(len(ranked) - 1, int(len(ranked) * PERCENTILE))]
 
     def _recent_peak(self, load: OnlineLoad) -> int:
-        """Return the most online requests at once in the last moments."""
+        """Return the peak of running online requests in the last window.
+
+        The window is ``PEAK_WINDOW_S`` seconds long.
+        """
         now = self._clock.monotonic()
-        while self._peaks and now - self._peaks[0][0] > PEAK_S:
+        while self._peaks and now - self._peaks[0][0] > PEAK_WINDOW_S:
             self._peaks.popleft()
-        # Smaller peaks before this one do not matter any more.
+        # Earlier peaks that are no higher than this load expire first and
+        # can never be the maximum again.
         while self._peaks and self._peaks[-1][1] <= load.running:
             self._peaks.pop()
         self._peaks.append((now, load.running))
--- a/cactusridge/sidecar/drain_rate.py
+++ b/cactusridge/sidecar/drain_rate.py
@@ -1,38 +1,41 @@
-"""How fast an upstream works off its queue."""
+"""Estimates how fast the queue of an upstream drains."""
 
 from cactusridge.clock import Clock
 
-WEIGHT = 0.2
+SMOOTHING_FACTOR = 0.2
 
 
 class DrainRate:
-    """A smoothed time between two releases of a slot, in seconds.
+    """Smoothed interval between two slot releases, in seconds.
 
-    Only stretches in which others waited count: how far apart requests
-    end while there is nothing more to do says nothing of how fast a
-    queue would go.
+    Only intervals during which requests were waiting are measured. While
+    no request waits, the interval depends on how often requests arrive and
+    not on how fast the upstream works.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start without a measurement."""
+        """Start with no measured interval."""
         self._clock = clock
         self._last = clock.monotonic()
-        self._gap_s = float(0)
-        self._full = False
+        self._interval_s = float(0)
+        self._had_waiters = False
 
     def released(self, waiting: bool) -> None:
-        """Note that a slot became free, and whether one waited for it."""
+        """Record that a slot was released.
+
+        ``waiting`` is whether requests are still queued at this moment.
+        """
         now = self._clock.monotonic()
-        if self._full:
+        if self._had_waiters:
             self._observe(now - self._last)
         self._last = now
-        self._full = waiting
+        self._had_waiters = waiting
 
     def wait_s(self, ahead: int) -> float:
-        """Return the seconds until ``ahead`` slots have become free."""
-        return self._gap_s * ahead
+        """Return the expected seconds until ``ahead`` slots are released."""
+        return self._interval_s * ahead
 
     def _observe(self, gap_s: float) -> None:
-        if not self._gap_s:
-            self._gap_s = gap_s
-        self._gap_s += (gap_s - self._gap_s) * WEIGHT
+        if not self._interval_s:
+            self._interval_s = gap_s
+        self._interval_s += (gap_s - self._interval_s) * SMOOTHING_FACTOR
--- a/cactusridge/sidecar/fences.py
+++ b/cactusridge/sidecar/fences.py
@@ -1,4 +1,4 @@
-"""Fencing numbers for upstreams that do not check them."""
+"""Checks fencing numbers on behalf of upstreams that do not check them."""
 
 from collections import OrderedDict
 
@@ -10,26 +10,29 @@
 
 
 class FenceRegister:
-    """Holds the highest number seen for each resource."""
+    """Keeps the highest fencing number received for each resource.
+
+    Beyond ``MAX_RESOURCES`` the least recently used resource is evicted.
+    """
 
     def __init__(self) -> None:
-        """Start with none.
+        """Create an empty register.
 
-        After a restart nothing is known, and nothing needs to be: the
-        restarted sidecar has a new incarnation, and an order that was
-        written for the old one is refused before it gets here.
+        The register need not survive a restart: a restarted sidecar has a
+        new incarnation, and it refuses orders for the old incarnation
+        before their fencing numbers are checked.
         """
         self._highest: OrderedDict[str, int] = OrderedDict()
 
     def check(self, fence: Fence | None) -> None:
-        """Raise StaleOrder when ``fence`` is lower than one seen."""
+        """Record ``fence``; raise StaleOrder if a higher one was received."""
         if fence is None:
             return
         highest = self._highest.get(fence.resource, 0)
         if fence.number < highest:
             logs.emit(events.ORDER_FENCED, resource=fence.resource)
             raise StaleOrder(
-                f'{fence.resource}: number {fence.number} is below {highest}',
+                f'{fence.resource}: fencing number {fence.number} < {highest}',
             )
         self._highest[fence.resource] = fence.number
         self._highest.move_to_end(fence.resource)
--- a/cactusridge/sidecar/gate.py
+++ b/cactusridge/sidecar/gate.py
@@ -1,4 +1,4 @@
-"""Admission in front of one upstream: online first, batch fills the rest."""
+"""Admission control of one upstream; online requests go before batch."""
 
 from collections import Counter
 
@@ -18,22 +18,26 @@
 
 
 class Ticket:
-    """A place at the upstream, granted or waited for."""
+    """A slot at the upstream that an order holds or waits for."""
 
     def __init__(self, order: RunOrder) -> None:
-        """Wait for a place for ``order``."""
+        """Create a ticket for ``order`` that holds no slot yet."""
         self.order = order
         self.granted = Event()
-        self.asked_to_yield = Event()
+        self.preempt_requested = Event()
 
     @property
     def work(self) -> WorkClass:
-        """Return whose work this is."""
+        """Return whether the order is online or batch work."""
         return self.order.work
 
 
 class Gate:
-    """Grants places; takes them from batch when online needs them."""
+    """Grants the slots of one upstream to online and batch orders.
+
+    When online orders need slots, running batch orders that may be
+    repeated are preempted.
+    """
 
     def __init__(
         self,
@@ -42,7 +46,10 @@
         controller: BatchController,
         clock: Clock,
     ) -> None:
-        """Admit to the upstream in ``cfg``."""
+        """Control admission to the upstream that ``cfg`` describes.
+
+        ``limit`` bounds running online orders, ``controller`` batch orders.
+        """
         self.cfg = cfg
         self.online_limit = limit
         self.controller = controller
@@ -54,7 +61,11 @@
         self._counts: Counter[WorkClass] = Counter()
 
     def enter(self, order: RunOrder) -> Ticket:
-        """Wait for a place; raise Overloaded at once when none can come."""
+        """Wait for a slot and return the ticket that holds it.
+
+        Raises Overloaded at once if the queue is full or the expected wait
+        exceeds the deadline, and later if the deadline passes in the queue.
+        """
         ticket = Ticket(order)
         if order.work == WorkClass.online:
             self._check_online(order)
@@ -66,16 +77,20 @@
         self._wait(ticket)
         return ticket
 
-    def reenter(self, ticket: Ticket) -> Ticket:
-        """Wait again, after yielding, before batch that came later."""
-        again = Ticket(ticket.order)
-        self._push_batch(again)
+    def requeue(self, ticket: Ticket) -> Ticket:
+        """Wait for a slot again after a preemption; return the new ticket.
+
+        The order keeps its slack, so that it stays ahead of orders of its
+        team with more slack. The limit on the queue length is not applied.
+        """
+        requeued = Ticket(ticket.order)
+        self._push_batch(requeued)
         self._dispatch()
-        self._wait(again)
-        return again
+        self._wait(requeued)
+        return requeued
 
     def leave(self, ticket: Ticket) -> None:
-        """Give the place back."""
+        """Release the slot of ``ticket`` and admit waiting orders."""
         self._running.remove(ticket)
         self._counts[ticket.work] -= 1
         if ticket.work == WorkClass.online:
@@ -83,11 +98,11 @@
         self._dispatch()
 
     def tick(self) -> None:
-        """Look again; the controller's level changes with time."""
+        """Admit waiting orders; the controller's limit changes over time."""
         self._dispatch()
 
     def report(self) -> ServiceReport:
-        """Return the load now."""
+        """Return the current load, limits and expected waits."""
         return ServiceReport(
             online_running=self._counts[WorkClass.online],
             online_waiting=len(self._online),
@@ -104,16 +119,16 @@
         try:
             granted = ticket.granted.wait(order.deadline_s)
         except BaseException:
-            self._abandon(ticket)
+            self._withdraw(ticket)
             raise
         if not granted:
-            self._abandon(ticket)
+            self._withdraw(ticket)
             raise Overloaded(
-                'no place came free before the deadline',
+                'no slot became free before the deadline',
                 retry_after_s=self._retry_after(),
             )
 
-    def _abandon(self, ticket: Ticket) -> None:
+    def _withdraw(self, ticket: Ticket) -> None:
         if self._online.discard(ticket) or self._batch.discard(ticket):
             return
         if ticket in self._running:
@@ -131,14 +146,14 @@
         expected_s = self._drain_rate.wait_s(waiting - free + 1)
         if expected_s > order.deadline_s or waiting >= self.cfg.max_waiting:
             raise Overloaded(
-                f'the wait would be {expected_s:.2f} s',
+                f'the expected wait is {expected_s:.2f} s',
                 retry_after_s=self._retry_after(),
             )
 
     def _check_batch(self) -> None:
         if len(self._batch) >= self.cfg.batch_waiting:
             raise Overloaded(
-                'enough batch work waits here',
+                'the queue of batch requests is full',
                 retry_after_s=MIN_RETRY_S,
             )
 
@@ -151,11 +166,11 @@
 
     def _dispatch(self) -> None:
         while self._online and self._online_fits():
-            self._grant(self._online.pop())
-        self._reclaim()
+            self._grant_ticket(self._online.pop())
+        self._preempt_batch()
         while self._batch and self._batch_fits():
-            self._grant(self._batch.pop())
-        self._show()
+            self._grant_ticket(self._batch.pop())
+        self._update_metrics()
 
     def _online_fits(self) -> bool:
         under_limit = (
@@ -167,40 +182,46 @@
         running = self._counts[WorkClass.batch]
         if any(ticket.order.solo for ticket in self._running):
             return False
-        if self._batch_head_solo() and running:
+        if self._next_batch_is_solo() and running:
             return False
         allowed = self.controller.limit(self._load())
         return running < allowed and len(self._running) < self.cfg.slots
 
-    def _batch_head_solo(self) -> bool:
+    def _next_batch_is_solo(self) -> bool:
         head = self._batch.peek()
         return head is not None and head.order.solo
 
-    def _grant(self, ticket: Ticket) -> None:
+    def _grant_ticket(self, ticket: Ticket) -> None:
         self._running.append(ticket)
         self._counts[ticket.work] += 1
         ticket.granted.set()
 
-    def _reclaim(self) -> None:
-        """Ask the newest batch runs to yield what online needs."""
+    def _preempt_batch(self) -> None:
+        """Request preemption of the batch orders above the batch limit.
+
+        The orders granted last are preempted first, and only those that may
+        be repeated. Orders already asked to stop count towards the number.
+        """
         allowed = self.controller.limit(self._load())
         over = self._counts[WorkClass.batch] - allowed
-        yielding = [
-            ticket for ticket in self._running if ticket.asked_to_yield.is_set()
+        preempted = [
+            ticket
+            for ticket in self._running
+            if ticket.preempt_requested.is_set()
         ]
         candidates = [
             ticket
             for ticket in reversed(self._running)
             if ticket.work == WorkClass.batch
             and ticket.order.repeatable
-            and not ticket.asked_to_yield.is_set()
+            and not ticket.preempt_requested.is_set()
         ]
-        for ticket in candidates[: max(0, over - len(yielding))]:
+        for ticket in candidates[: max(0, over - len(preempted))]:
             logs.emit(events.BATCH_PREEMPTED, order=ticket.order.id)
             metrics.PREEMPTED.inc({'service': self.cfg.service})
-            ticket.asked_to_yield.set()
+            ticket.preempt_requested.set()
 
-    def _show(self) -> None:
+    def _update_metrics(self) -> None:
         waiting = {
             WorkClass.online: len(self._online),
             WorkClass.batch: len(self._batch),
--- a/cactusridge/sidecar/lane.py
+++ b/cactusridge/sidecar/lane.py
@@ -1,4 +1,4 @@
-"""What belongs to one upstream: gate, limit, controller, connection."""
+"""One upstream together with its admission control and its client."""
 
 from cactusridge.clock import Clock
 from cactusridge.orders import ServiceReport
@@ -18,11 +18,11 @@
 from cactusridge.sidecar.upstream import Upstream
 from cactusridge.startup.models import SidecarSettings, UpstreamSettings
 
-SMOOTHING = 0.05
+SMOOTHING_FACTOR = 0.05
 
 
 class Lane:
-    """One upstream with its admission."""
+    """The client, the gate and the limits of one upstream."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         host_cfg: SidecarSettings,
         clock: Clock,
     ) -> None:
-        """Build the lane with the default objective until settings come."""
+        """Use the default objective until the service settings arrive."""
         self.cfg = cfg
         self.draining = False
         self.upstream = Upstream(cfg, host_cfg)
@@ -44,12 +44,15 @@
         )
 
     def configure(self, settings: ServiceSettings) -> None:
-        """Follow the objective in ``settings`` from now on."""
+        """Rebuild the limits for the objective in ``settings``."""
         self.gate.controller = self._controller(settings)
         self.gate.online_limit = self._limit(settings)
 
     def observe(self, watch: Stopwatch, gap_s: float) -> None:
-        """Take the time to a token of online work."""
+        """Record the ``gap_s`` seconds that a token of a stream took.
+
+        The first gap that ``stopwatch`` measured is the time to first token.
+        """
         first_s = watch.first_s
         if first_s is not None and first_s == gap_s:
             running = self.gate.report()['online_running']
@@ -58,10 +61,10 @@
             return
         self.gate.controller.between_tokens(gap_s)
         smoothed = self.gate.token_s or gap_s
-        self.gate.token_s = smoothed + (gap_s - smoothed) * SMOOTHING
+        self.gate.token_s = smoothed + (gap_s - smoothed) * SMOOTHING_FACTOR
 
     def report(self) -> ServiceReport:
-        """Return the load now."""
+        """Return the current load of the upstream."""
         return self.gate.report()
 
     def _limit(self, settings: ServiceSettings) -> ConcurrencyLimit:
--- a/cactusridge/sidecar/limits.py
+++ b/cactusridge/sidecar/limits.py
@@ -1,49 +1,55 @@
-"""How many online requests may be at the upstream at once."""
+"""Limits on the online requests that run at an upstream at once."""
 
 import abc
 
 from cactusridge.clock import Clock
 from cactusridge.settings.schema import ObjectiveSettings
 
-DANGER_SHARE = 0.5
-CUT = 0.8
-FLOOR_PART = 4
+SAFE_SHARE = 0.5
+DECREASE_FACTOR = 0.8
+FLOOR_DIVISOR = 4
 
 
 class ConcurrencyLimit(abc.ABC):
-    """A limit on requests at the upstream."""
+    """Limits how many online requests may run at an upstream at once."""
 
     @abc.abstractmethod
     def observe(self, first_token_s: float, running: int) -> None:
-        """Take the first-token time of a request and the load it met."""
+        """Record a time to first token, in seconds.
+
+        ``running`` is the number of online requests that ran at that time.
+        """
 
     @abc.abstractmethod
     def current(self) -> int:
-        """Return the limit now."""
+        """Return the current limit, in requests."""
 
 
 class FixedLimit(ConcurrencyLimit):
-    """Naive: the number of slots, whatever is observed."""
+    """Baseline policy whose limit is always the number of slots."""
 
     def __init__(self, slots: int) -> None:
-        """Always allow ``slots``."""
+        """Set the limit to ``slots``."""
         self._slots = slots
 
     def observe(self, first_token_s: float, running: int) -> None:
-        """Pass over the observation."""
+        """Ignore the observation."""
 
     def current(self) -> int:
-        """Return the slots."""
+        """Return the number of slots."""
         return self._slots
 
 
 class ObjectiveLimit(ConcurrencyLimit):
-    """Shrinks while first tokens use up too much of the objective.
-
-    An engine that batches continuously yields more tokens the fuller it
-    is, so fewer requests help only when the objective is in danger: a
-    limit that followed the best first-token time seen (a gradient) cut
-    the engine to half its slots under a flood and doubled the wait.
+    """Adapts the limit to the time to first token.
+
+    The limit is multiplied by ``DECREASE_FACTOR`` when the time to first
+    token exceeds ``SAFE_SHARE`` of its objective, and grows slowly
+    otherwise. An engine with continuous batching has a higher throughput
+    the more slots are in use, so the limit is reduced only when the
+    objective is at risk. A gradient limit, which follows the lowest time
+    to first token, is not used: under overload it halved the number of
+    slots in use and doubled the wait.
     """
 
     def __init__(
@@ -52,25 +58,29 @@
         objective: ObjectiveSettings,
         clock: Clock,
     ) -> None:
-        """Move between a quarter of ``slots`` and all; start at all."""
+        """Start at ``slots``; never go below a quarter of them."""
         self._slots = slots
-        self._floor = max(1, slots // FLOOR_PART)
+        self._floor = max(1, slots // FLOOR_DIVISOR)
         self._objective = objective
         self._clock = clock
         self._limit = float(slots)
-        self._cut_at = clock.monotonic()
+        self._decreased_at = clock.monotonic()
 
     def observe(self, first_token_s: float, running: int) -> None:
-        """Take the first-token time of a request and the load it met."""
+        """Record a time to first token, in seconds.
+
+        ``running`` is the number of online requests that ran at that time.
+        """
         now = self._clock.monotonic()
-        if first_token_s <= self._objective.first_token_s * DANGER_SHARE:
+        if first_token_s <= self._objective.first_token_s * SAFE_SHARE:
             grown = self._limit + 1 / self._limit
             self._limit = min(self._slots, grown)
-        elif now - self._cut_at > first_token_s:
-            # One cut for the requests that were on their way together.
-            self._cut_at = now
-            self._limit = max(self._floor, self._limit * CUT)
+        elif now - self._decreased_at > first_token_s:
+            # Requests that were in flight at the last decrease are not a
+            # reason for another: they started under the higher limit.
+            self._decreased_at = now
+            self._limit = max(self._floor, self._limit * DECREASE_FACTOR)
 
     def current(self) -> int:
-        """Return the limit now."""
+        """Return the current limit, in requests."""
         return int(self._limit)
--- a/cactusridge/sidecar/run.py
+++ b/cactusridge/sidecar/run.py
@@ -1,4 +1,4 @@
-"""One order on its way through gate, ledger and upstream."""
+"""Runs one order: waits for a slot, calls the upstream, sends frames."""
 
 from collections.abc import Callable, Iterator
 
@@ -27,7 +27,7 @@
 
 
 class Run:
-    """Carries out one order and yields the frames of its reply."""
+    """Runs one order and yields the frames of the reply to the entry."""
 
     def __init__(
         self,
@@ -37,10 +37,9 @@
         ledger: RunLedger,
         report: Callable[[], SidecarReport],
     ) -> None:
-        """Run ``order`` with ``body`` on ``lane``, noted in ``ledger``.
+        """Prepare to run ``order``, which ``ledger`` already has, on ``lane``.
 
-        The reply ends with the sidecar's ``report`` if the entry wants
-        one; a refusal always does.
+        The end frame carries the sidecar's ``report`` if the order wants it.
         """
         self.order = order
         self.body = body
@@ -52,17 +51,17 @@
         self._done = Event()
 
     def frames(self, heartbeat_s: float) -> Iterator[bytes]:
-        """Yield the reply; a heartbeat after each silent ``heartbeat_s``."""
+        """Yield encoded frames, or a heartbeat if none for ``heartbeat_s``."""
         worker = gevent.spawn(self._work)
         try:
             while not (self._done.is_set() and self._out.empty()):
-                yield self._next(heartbeat_s)
+                yield self._next_frames(heartbeat_s)
         finally:
-            # The entry hung up, or all is said: either way nothing of
-            # this order may go on.
+            # Either the reply is complete or the entry has disconnected.
+            # In both cases no work on this order may continue.
             worker.kill()
 
-    def _next(self, heartbeat_s: float) -> bytes:
+    def _next_frames(self, heartbeat_s: float) -> bytes:
         try:
             parts = [self._out.get(timeout=heartbeat_s)]
         except Empty:
@@ -80,7 +79,7 @@
             logs.emit(events.INTERNAL_ERROR, error=repr(exc))
             self._refuse(CactusridgeError(repr(exc)))
         report = self._report() if self.order.wants_report else None
-        self._say(end_frame(self.order.id, report))
+        self._send(end_frame(self.order.id, report))
         self._done.set()
 
     def _run(self) -> None:
@@ -97,7 +96,10 @@
             self._lane.gate.leave(ticket)
 
     def _run_batch(self) -> None:
-        """Run until whole; yield to online and go on afterwards."""
+        """Run a batch order; after a preemption, wait for a slot and resume.
+
+        An order that is preempted while the sidecar drains is refused.
+        """
         ticket = self._lane.gate.enter(self.order)
         resume = False
         while True:
@@ -110,33 +112,36 @@
                 break
             resume = True
             if self._lane.draining:
-                raise self._yielded()
-            ticket = self._lane.gate.reenter(ticket)
+                raise self._preempted_error()
+            ticket = self._lane.gate.requeue(ticket)
         for part in parts:
             self._out.put(part)
 
     def _attempt(self, ticket: Ticket, resume: bool) -> list[bytes] | None:
-        """Return the frames of a whole answer, or None after yielding."""
-        job = gevent.spawn(self._collect, resume)
+        """Return the frames of a response, or None if preempted.
+
+        Raises DeadlineExceeded after ``deadline_s`` seconds.
+        """
+        call = gevent.spawn(self._collect, resume)
         try:
             gevent.wait(
-                [job, ticket.asked_to_yield],
+                [call, ticket.preempt_requested],
                 timeout=self.order.deadline_s,
                 count=1,
             )
-            if job.ready():
-                return _result_of(job.get())
+            if call.ready():
+                return _frames_or_raise(call.get())
         finally:
-            if not job.ready():
-                job.kill()
-        if not ticket.asked_to_yield.is_set():
+            if not call.ready():
+                call.kill()
+        if not ticket.preempt_requested.is_set():
             self._lane.upstream.cancel(self.order, keep=False)
             raise DeadlineExceeded
         self._lane.upstream.cancel(self.order, keep=True)
         return None
 
     def _collect(self, resume: bool) -> list[bytes] | CactusridgeError:
-        """Return the frames, or the failure for the waiting greenlet."""
+        """Return the frames, or the error for the caller to raise."""
         try:
             answer = self._call(resume)
             whole = b''.join(answer.body)
@@ -149,11 +154,11 @@
         try:
             answer = self._lane.upstream.call(self.order, self.body, resume)
         except CactusridgeError as exc:
-            self._note_failure(exc)
+            self._log_failure(exc)
             raise
-        return Answer(answer.head, self._watched(answer, watch))
+        return Answer(answer.head, self._timed_body(answer, watch))
 
-    def _watched(self, answer: Answer, watch: Stopwatch) -> Iterator[bytes]:
+    def _timed_body(self, answer: Answer, watch: Stopwatch) -> Iterator[bytes]:
         try:
             for block in answer.body:
                 gap_s = watch.token()
@@ -161,7 +166,7 @@
                     self._lane.observe(watch, gap_s)
                 yield block
         except CactusridgeError as exc:
-            self._note_failure(exc)
+            self._log_failure(exc)
             raise
 
     def _forward(self, answer: Answer) -> None:
@@ -181,11 +186,12 @@
         if not self._started:
             self._ledger.start(self.order.id)
             self._started = True
-            self._say(FrameHead(kind=FrameKind.started, id=self.order.id))
+            self._send(FrameHead(kind=FrameKind.started, id=self.order.id))
 
-    def _yielded(self) -> CactusridgeError:
-        exc = Overloaded('yielded to online requests while draining')
-        # It ran in part; since it may be repeated, another may run it.
+    def _preempted_error(self) -> CactusridgeError:
+        exc = Overloaded('preempted by online requests while draining')
+        # The order has run in part. Only repeatable orders are preempted,
+        # so another replica may run it again.
         exc.not_run = None
         return exc
 
@@ -199,15 +205,15 @@
             ),
         )
 
-    def _say(self, head: FrameHead) -> None:
+    def _send(self, head: FrameHead) -> None:
         self._out.put(frames.encode(head))
 
     def _refuse(self, exc: CactusridgeError) -> None:
         if self._started and exc.not_run and not is_failure(exc):
             exc.not_run = None
-        self._say(refusal_frame(exc))
+        self._send(refusal_frame(exc))
 
-    def _note_failure(self, exc: CactusridgeError) -> None:
+    def _log_failure(self, exc: CactusridgeError) -> None:
         logs.emit(
             events.UPSTREAM_FAILED,
             order=self.order.id,
@@ -217,7 +223,7 @@
 
 
 def end_frame(order_id: str, report: SidecarReport | None) -> FrameHead:
-    """Return the last frame of a reply: whose it was, and the load now."""
+    """Return the last frame of a reply, with the report if there is one."""
     head = FrameHead(kind=FrameKind.end, id=order_id)
     if report is not None:
         head['report'] = dict(report)
@@ -225,7 +231,7 @@
 
 
 def refusal_frame(exc: CactusridgeError) -> FrameHead:
-    """Return the frame that refuses an order."""
+    """Return the frame that refuses an order with the error ``exc``."""
     return FrameHead(
         kind=FrameKind.refusal,
         status=exc.status,
@@ -237,7 +243,7 @@
     return frames.encode(FrameHead(kind=FrameKind.body), block)
 
 
-def _result_of(found: list[bytes] | CactusridgeError) -> list[bytes]:
-    if isinstance(found, CactusridgeError):
-        raise found
-    return found
+def _frames_or_raise(outcome: list[bytes] | CactusridgeError) -> list[bytes]:
+    if isinstance(outcome, CactusridgeError):
+        raise outcome
+    return outcome
--- a/cactusridge/sidecar/stopwatch.py
+++ b/cactusridge/sidecar/stopwatch.py
@@ -1,22 +1,25 @@
-"""How long an answer takes, token by token."""
+"""Measures the token latencies of one streamed response."""
 
 import time
 
 
 class Stopwatch:
-    """Measures first-token and between-token times of one answer."""
+    """Times the first token and the gaps between tokens, in seconds."""
 
     def __init__(self) -> None:
-        """Start at the sending of the request."""
-        self.sent = time.monotonic()
-        self.last = self.sent
+        """Start the clock; create it when the request is sent."""
+        self.sent_at = time.monotonic()
+        self.last_at = self.sent_at
         self.first_s: float | None = None
 
     def token(self) -> float:
-        """Note a token; return the seconds since the one before."""
+        """Record a token; return the seconds since the previous one.
+
+        For the first token, these are the seconds since the request.
+        """
         now = time.monotonic()
-        gap_s = now - self.last
-        self.last = now
+        gap_s = now - self.last_at
+        self.last_at = now
         if self.first_s is None:
             self.first_s = gap_s
         return gap_s
--- a/cactusridge/sidecar/upstream.py
+++ b/cactusridge/sidecar/upstream.py
@@ -1,4 +1,4 @@
-"""One upstream: sends it requests and reads whole or streamed answers."""
+"""HTTP client of one upstream, for complete and streamed responses."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -47,21 +47,21 @@
 
 
 class UpstreamHead(NamedTuple):
-    """Status and headers of an upstream's answer."""
+    """Status and end-to-end headers of an upstream response."""
 
     status: int
     headers: list[tuple[str, str]]
 
 
 class Answer(NamedTuple):
-    """An answer: its head, and its body as it comes."""
+    """An upstream response; ``body`` yields blocks as they arrive."""
 
     head: UpstreamHead
     body: Iterator[bytes]
 
 
 def end_to_end(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that go on to the next hop."""
+    """Return ``headers`` without hop-by-hop, Host and Content-Length."""
     return [
         (name, text)
         for name, text in headers
@@ -70,12 +70,12 @@
 
 
 class Upstream:
-    """Speaks HTTP to one model engine or plain service."""
+    """Sends requests to one model engine or plain service."""
 
     def __init__(
         self, cfg: UpstreamSettings, host_cfg: SidecarSettings
     ) -> None:
-        """Reach the upstream at the address in ``cfg``."""
+        """Create a client for the upstream at ``cfg.address``."""
         self.cfg = cfg
         self.address = parse_address(cfg.address)
         self._host_cfg = host_cfg
@@ -85,11 +85,12 @@
         )
 
     def call(self, order: RunOrder, body: bytes, resume: bool) -> Answer:
-        """Send ``order``; return its answer once the head is there.
+        """Send ``order``; return the response once its head has arrived.
 
-        Raises NoReplica when the upstream cannot be reached (not run),
-        UpstreamCrashed when it ended before it answered, OutcomeUnknown
-        when it is there and the answer is lost.
+        Raises NoReplica if the upstream is unreachable and the order has not
+        run, UpstreamCrashed if the upstream process ended before it
+        responded, OutcomeUnknown if the upstream still runs and the response
+        was lost, and CrossedReply if the response is to another request.
         """
         headers = dict(end_to_end(list(order.headers)))
         headers[ID_HEADER] = order.id
@@ -101,12 +102,16 @@
         if order.method == 'POST':
             answer = self._call_pooled(order, body, headers)
         else:
-            answer = self._call_once(order, body, headers)
+            answer = self._call_unpooled(order, body, headers)
         self._check_id(order, answer.head)
         return answer
 
     def cancel(self, order: RunOrder, keep: bool) -> None:
-        """Tell the engine to end a stream; ``keep`` lets it be resumed."""
+        """Ask the engine to end a stream; ``keep`` lets it be resumed later.
+
+        Does nothing for online orders that are not streamed. The request is
+        sent in the background, and its failure is only logged.
+        """
         if order.work == WorkClass.online and not order.streamed:
             return
         path = f'/v1/streams/{order.id}/cancel?keep={int(keep)}'
@@ -116,7 +121,8 @@
         try:
             self._clients.post_json(self.address, path, {})
         except Exception as exc:
-            # The closed connection cancels too; this only makes sure.
+            # Closing the connection cancels the stream as well, so this
+            # failure needs no retry.
             logs.emit(events.UPSTREAM_FAILED, error=repr(exc), path=path)
 
     def _call_pooled(
@@ -138,23 +144,24 @@
         except IO_ERRORS as exc:
             self._clients.drop(self.address)
             self._raise_if_crashed(exc)
-            raise OutcomeUnknown(f'no answer: {exc!r}') from exc
+            raise OutcomeUnknown(f'no response: {exc!r}') from exc
         head = UpstreamHead(resp.status_code, end_to_end(resp.headers))
         if order.streamed and head.status == HTTPStatus.OK:
-            return Answer(head, self._guarded(read_events(resp)))
-        return Answer(head, self._guarded(read_blocks(resp)))
+            return Answer(head, self._raising_on_crash(read_events(resp)))
+        return Answer(head, self._raising_on_crash(read_blocks(resp)))
 
-    def _call_once(
+    def _call_unpooled(
         self,
         order: RunOrder,
         body: bytes,
         headers: dict[str, str],
     ) -> Answer:
-        """Call on a connection of its own.
+        """Send a request on a new connection that is not reused.
 
-        geventhttpclient sends GET, PUT and DELETE again when a reused
-        connection was closed; whether a call may be repeated is ours to
-        say, so these go through the standard library, which never does.
+        geventhttpclient repeats GET, PUT and DELETE requests when a reused
+        connection turns out to be closed. An order may be repeated only by
+        the entry, so these methods use the standard library's client, which
+        never repeats a request.
         """
         conn = HTTPConnection(*self.address)
         try:
@@ -171,12 +178,15 @@
         except IO_ERRORS as exc:
             conn.close()
             self._raise_if_crashed(exc)
-            raise OutcomeUnknown(f'no answer: {exc!r}') from exc
+            raise OutcomeUnknown(f'no response: {exc!r}') from exc
         head = UpstreamHead(resp.status, end_to_end(resp.getheaders()))
-        return Answer(head, self._guarded(read_available(conn, resp)))
+        return Answer(head, self._raising_on_crash(read_available(conn, resp)))
 
-    def _guarded(self, blocks: Iterator[bytes]) -> Iterator[bytes]:
-        """Yield a body; tell an upstream that ended from a broken answer."""
+    def _raising_on_crash(self, blocks: Iterator[bytes]) -> Iterator[bytes]:
+        """Yield ``blocks``; raise UpstreamCrashed if the upstream has ended.
+
+        A body cut short by an upstream that still runs raises TruncatedReply.
+        """
         try:
             yield from blocks
         except TruncatedReply as exc:
@@ -184,18 +194,19 @@
             raise
 
     def _raise_if_crashed(self, cause: BaseException | None) -> None:
-        """Raise UpstreamCrashed if a connection broke since it ended.
+        """Raise UpstreamCrashed if ``cause`` comes from a crashed upstream.
 
-        A silent upstream may be at work, and one that takes another
-        connection and keeps it lives.
+        A timeout is no evidence of a crash, as the upstream may still be
+        working. An upstream that accepts a new connection and keeps it open
+        has not crashed.
         """
         if cause is None or isinstance(cause, TimeoutError):
             return
-        if not self._accepts():
-            raise UpstreamCrashed(f'cut off: {cause!r}') from cause
+        if not self._accepts_connections():
+            raise UpstreamCrashed(f'the connection broke: {cause!r}') from cause
 
-    def _accepts(self) -> bool:
-        """Tell whether the upstream takes a connection and keeps it."""
+    def _accepts_connections(self) -> bool:
+        """Return whether the upstream accepts and keeps a connection."""
         try:
             sock = patience.connect(
                 self.address,
@@ -211,9 +222,11 @@
         for name, text in head.headers:
             if name.lower() == ID_HEADER.lower() and text != order.id:
                 self._clients.drop(self.address)
-                raise CrossedReply(f'asked {order.id}, got {text}')
+                raise CrossedReply(
+                    f'sent {order.id}, received a response to {text}'
+                )
 
 
 def is_failure(exc: BaseException) -> bool:
-    """Tell whether ``exc`` says that the upstream itself failed."""
+    """Return whether ``exc`` is a failure of the upstream itself."""
     return isinstance(exc, (UpstreamFailed, OutcomeUnknown, NoReplica))
--- a/cactusridge/slo/__init__.py
+++ b/cactusridge/slo/__init__.py
@@ -1,1 +1,1 @@
-"""Service-level objectives: what was measured, what was burnt."""
+"""Service-level objectives: measurements, error budgets and alerts."""
--- a/cactusridge/slo/burn.py
+++ b/cactusridge/slo/burn.py
@@ -1,4 +1,4 @@
-"""The report on error budget burn, from the stored periods."""
+"""Reports error budget burn from the stored periods."""
 
 import itertools
 from typing import Any
@@ -7,7 +7,7 @@
 from cactusridge.settings.schema import ObjectiveSettings
 from cactusridge.slo.history import SloHistory
 from cactusridge.slo.objectives import (
-    NONE_ALLOWED,
+    PERFECT_TARGET,
     Measure,
     alerts,
     measure,
@@ -29,21 +29,24 @@
 
 
 def windows_up_to(longest: str) -> Windows:
-    """Return the windows no longer than the one called ``longest``."""
+    """Return the windows no longer than the one named ``longest``.
+
+    Raises BadRequest if no window has that name.
+    """
     names = [name for name, _ in WINDOWS]
     if longest not in names:
         raise BadRequest(
-            f'{longest} is none of {", ".join(names)}',
+            f'window {longest} is not one of {", ".join(names)}',
             param='window',
         )
     return WINDOWS[: names.index(longest) + 1]
 
 
 class BurnReporter:
-    """Reads the stored periods of a window and adds them up."""
+    """Reads the stored periods and builds burn reports from them."""
 
     def __init__(self, history: SloHistory) -> None:
-        """Read from ``history``."""
+        """Read the periods from ``history``."""
         self._history = history
 
     def report(
@@ -53,10 +56,11 @@
         now: float,
         longest: str = QUARTER,
     ) -> dict[str, Any]:
-        """Return the report of ``service`` as JSON.
+        """Return the report of ``service`` at ``now`` as JSON data.
 
-        Covers the windows up to ``longest``; what is left of the
-        quarter's budget is known only with the whole quarter.
+        ``now`` is in Unix seconds. The report covers the windows up to the
+        one named ``longest``. Only a report that includes the quarter states
+        the remaining budget. Raises BadRequest for an unknown window.
         """
         windows = windows_up_to(longest)
         periods = list(self._history.periods(now - windows[-1][1]))
@@ -70,19 +74,21 @@
     periods: list[Period],
     windows: Windows = WINDOWS,
 ) -> dict[str, Any]:
-    """Return burn by window, what is left, and what is missing."""
+    """Return burn rates by window, remaining budgets, alerts and gaps."""
     counts = {
         name: measure(window, objective)
-        for name, window in _counted(periods, service, now, windows).items()
+        for name, window in _windows_by_name(
+            periods, service, now, windows
+        ).items()
     }
     rates = {
-        name: {kind: found.burn() for kind, found in measures.items()}
+        name: {kind: measured.burn() for kind, measured in measures.items()}
         for name, measures in counts.items()
     }
     longest = windows[-1][0]
     objectives = {
-        kind: _budget(found, kind, rates, _age_s(periods, now))
-        for kind, found in counts[longest].items()
+        kind: _budget_report(measured, kind, rates, _age_s(periods, now))
+        for kind, measured in counts[longest].items()
     }
     return {
         'service': service,
@@ -100,16 +106,17 @@
     return find_gaps(periods, now, period_s)
 
 
-def _counted(
+def _windows_by_name(
     periods: list[Period],
     service: str,
     now: float,
     windows: Windows,
 ) -> dict[str, ServiceWindow]:
-    """Return the counts by window; each period is decoded only once.
+    """Return the counts of ``service`` by the name of the window.
 
-    A period goes to the shortest window it lies in, and each window is
-    then added to the next longer one.
+    Each period is decoded only once: its counts go to the shortest window
+    that includes its end, and each window is then added to the next longer
+    one.
     """
     counted = {name: ServiceWindow() for name, _ in windows}
     for period in periods:
@@ -127,29 +134,33 @@
 
 
 def _age_s(periods: list[Period], now: float) -> float:
-    """Return how long ago the first period began."""
+    """Return the seconds since the start of the first period."""
     return now - min((period.start for period in periods), default=now)
 
 
-def _budget(
-    found: Measure,
+def _budget_report(
+    measured: Measure,
     kind: str,
     rates: dict[str, dict[str, float]],
     age_s: float,
 ) -> dict[str, Any]:
-    """Return the counts of an objective and what is left of its budget."""
-    told = {
-        'target': found.target,
-        'good': found.counted.good,
-        'bad': found.counted.bad,
+    """Return the counts of an objective and its remaining error budget.
+
+    ``budget_left`` is a share of the quarter's budget. ``empty_in_s`` is the
+    number of seconds until it is used up at the burn rate of the last 6 h.
+    """
+    budget = {
+        'target': measured.target,
+        'good': measured.counted.good,
+        'bad': measured.counted.bad,
         'budget_left': None,
         'empty_in_s': None,
     }
     if QUARTER not in rates:
-        return told
-    if found.target >= NONE_ALLOWED:
-        return {**told, 'budget_left': float(not found.counted.bad)}
+        return budget
+    if measured.target >= PERFECT_TARGET:
+        return {**budget, 'budget_left': float(not measured.counted.bad)}
     left = 1 - rates[QUARTER][kind] * age_s / QUARTER_S
     rate = rates['6h'][kind]
     empty_in_s = left * QUARTER_S / rate if rate > 0 else None
-    return {**told, 'budget_left': left, 'empty_in_s': empty_in_s}
+    return {**budget, 'budget_left': left, 'empty_in_s': empty_in_s}
--- a/cactusridge/slo/burn_watch.py
+++ b/cactusridge/slo/burn_watch.py
@@ -1,4 +1,4 @@
-"""Raises alerts from what this entry itself has counted."""
+"""Raises burn rate alerts from the counts of this entry alone."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,16 +10,16 @@
 from cactusridge.clock import Clock
 from cactusridge.settings.schema import ObjectiveSettings
 from cactusridge.slo.objectives import (
-    NONE_ALLOWED,
+    PERFECT_TARGET,
     Measure,
     alerts,
     measure,
 )
 from cactusridge.slo.period import DAY_S, HOUR_S
-from cactusridge.slo.window import NOTHING, ServiceWindow
+from cactusridge.slo.window import NO_COUNTS, ServiceWindow
 
 BUCKET_S = 300
-MIN_COUNTED = 20
+MIN_SAMPLES = 20
 WINDOWS_S = MappingProxyType(
     {'1h': HOUR_S, '6h': 6 * HOUR_S, '3d': 3 * DAY_S},
 )
@@ -30,49 +30,51 @@
 
 
 class Bucket(NamedTuple):
-    """What was counted in the ``BUCKET_S`` seconds from ``start``."""
+    """Counts of the ``BUCKET_S`` seconds from ``start`` (Unix seconds)."""
 
     start: int
     measures: Measures
 
 
 class BurnWatch:
-    """Watches the burn of each service as this entry sees it.
+    """Tracks the burn rates of each service from this entry's counts.
 
-    The balancer spreads callers over the entries, so each sees a fair
-    sample; no entry reads what the others have stored, and an outage of
-    the store silences no alert. An entry knows only its own lifetime;
-    the report over the stored periods is what counts in the end.
+    The load balancer spreads callers over all entries, so each entry sees a
+    representative sample. The alerts use no stored data and still work while
+    the store is unavailable. The counts start with the process; the report
+    over the stored periods is authoritative.
     """
 
     def __init__(self, objective_of: ObjectiveOf, clock: Clock) -> None:
-        """Look objectives up by the path of a service."""
+        """Get the objective of a service from ``objective_of`` by its path."""
         self._objective_of = objective_of
         self._clock = clock
         self._buckets: dict[str, deque[Bucket]] = {}
         self._firing: set[tuple[str, str, str]] = set()
 
     def add(self, windows: dict[str, ServiceWindow]) -> None:
-        """Take the counts of a period; alert where burn is too fast."""
+        """Add the counts of a period by service; log new burn rate alerts."""
         now = int(self._clock.wall())
         for service, window in windows.items():
             objective = self._objective_of(service)
             if objective is not None:
-                self._take(service, now, measure(window, objective))
+                self._add_to_bucket(service, now, measure(window, objective))
         for service in self._buckets:
-            self._judge(service, now)
+            self._update_alerts(service, now)
 
-    def _take(self, service: str, now: int, found: Measures) -> None:
+    def _add_to_bucket(
+        self, service: str, now: int, measured: Measures
+    ) -> None:
         start = now - now % BUCKET_S
         kept = self._buckets.setdefault(service, deque())
         if kept and kept[-1].start == start:
             newest = kept.pop()
-            found = _sum_of([newest.measures, found])
-        kept.append(Bucket(start, found))
+            measured = _sum_of([newest.measures, measured])
+        kept.append(Bucket(start, measured))
         while kept[0].start < now - LONGEST_S:
             kept.popleft()
 
-    def _judge(self, service: str, now: int) -> None:
+    def _update_alerts(self, service: str, now: int) -> None:
         rates = {
             name: self._rates(service, name, now - length_s)
             for name, length_s in WINDOWS_S.items()
@@ -93,24 +95,29 @@
             if bucket.start + BUCKET_S > since
         ]
         rates = {}
-        for kind, found in _sum_of(within).items():
-            rates[kind] = found.burn() if _enough(found) else float(0)
+        for kind, measured in _sum_of(within).items():
+            rates[kind] = (
+                measured.burn() if _has_enough_samples(measured) else float(0)
+            )
             labels = {'service': service, 'objective': kind, 'window': name}
             metrics.BURN.set(labels, rates[kind])
         return rates
 
 
-def _enough(found: Measure) -> bool:
-    """Tell whether a share of what was counted says anything."""
-    total = found.counted.good + found.counted.bad
-    return total >= MIN_COUNTED or found.target >= NONE_ALLOWED
+def _has_enough_samples(measured: Measure) -> bool:
+    """Return whether there are enough samples for a burn rate.
+
+    For a target of 100 % a single bad sample is enough.
+    """
+    total = measured.counted.good + measured.counted.bad
+    return total >= MIN_SAMPLES or measured.target >= PERFECT_TARGET
 
 
 def _sum_of(parts: list[Measures]) -> Measures:
     summed: Measures = {}
-    for kind, found in chain.from_iterable(part.items() for part in parts):
-        known = summed.get(kind, Measure(found.target, NOTHING))
-        summed[kind] = found._replace(
-            counted=known.counted.plus(found.counted),
+    for kind, measured in chain.from_iterable(part.items() for part in parts):
+        known = summed.get(kind, Measure(measured.target, NO_COUNTS))
+        summed[kind] = measured._replace(
+            counted=known.counted.plus(measured.counted),
         )
     return summed
--- a/cactusridge/slo/hour_merger.py
+++ b/cactusridge/slo/hour_merger.py
@@ -1,7 +1,7 @@
-"""Merges the periods of an hour into one object, once it is over.
+"""Merges the stored periods of each past hour into one object.
 
-A quarter is then read in some 2,200 objects, however many entries there
-were and however short their periods.
+A report over a quarter then reads some 2,200 objects, independent of the
+number of entries and the length of their periods.
 """
 
 import itertools
@@ -33,12 +33,13 @@
 
 
 class HourMerger:
-    """Any entry may merge any hour; the first to name its object wins.
+    """Merges hours; any entry may merge any hour.
 
-    The object has a name of its own and the row that names it is
-    inserted once, so an entry that is lost, or two at once, neither
-    lose nor double an hour. An hour is merged only when no period of it
-    can come any more.
+    An entry writes the merged hour to an object with a unique name and then
+    inserts the row that names this object. The row can be inserted only
+    once, so the hour is neither lost when an entry fails in between nor
+    counted twice when two entries merge it at the same time. An hour is
+    merged only when no more of its periods can be stored.
     """
 
     def __init__(
@@ -50,9 +51,10 @@
         sealed_after_s: float,
         clock: Clock,
     ) -> None:
-        """Merge hours that ended ``sealed_after_s`` seconds ago.
+        """Merge hours that ended at least ``sealed_after_s`` seconds ago.
 
-        ``entries`` tells all entries by address, ``entry`` among them.
+        ``entries`` returns the addresses of all entries, including
+        ``entry``, the address of this one.
         """
         self._entry = entry
         self._entries = entries
@@ -61,45 +63,54 @@
         self._history = SloHistory(objects, table)
         self._sealed_after_s = sealed_after_s
         self._clock = clock
-        # Every hour before this one is merged, or had no periods.
-        self._settled = 0
+        # Each hour that starts before this time is merged or has no periods.
+        self._merged_before = 0
 
     def step(self) -> int | None:
-        """Merge the oldest hour that is due here; return its start."""
-        merged = self._history.merged_hours(self._settled)
-        hour = self._history.next_hour(self._settled, merged)
-        self._settled = hour or self._settled
-        while hour is not None and self._sealed_s(hour) > 0:
-            if self._due(hour):
-                self._merge(hour, self._names(hour))
+        """Merge the oldest hour that is due at this entry.
+
+        Returns the start of the hour in Unix seconds, or None if no hour is
+        due.
+        """
+        merged = self._history.merged_hours(self._merged_before)
+        hour = self._history.next_unmerged_hour(self._merged_before, merged)
+        self._merged_before = hour or self._merged_before
+        while hour is not None and self._sealed_for_s(hour) > 0:
+            if self._is_due(hour):
+                self._merge_hour(hour, self._period_names(hour))
                 return hour
-            hour = self._history.next_hour(hour + HOUR_S, merged)
+            hour = self._history.next_unmerged_hour(hour + HOUR_S, merged)
         return None
 
-    def _due(self, hour: int) -> bool:
-        """Tell whether this entry should merge ``hour`` by now.
+    def _is_due(self, hour: int) -> bool:
+        """Return whether this entry should merge ``hour`` now.
 
-        The entry ranked first does so at once, each other an hour after
-        the one before it, in case that one is gone.
+        Rendezvous hashing ranks the entries for the hour. The first one
+        merges it at once, and each further one takes over an hour after the
+        entry before it, in case that entry has failed.
         """
         rank = rendezvous(self._entries(), hour).index(self._entry)
-        return self._sealed_s(hour) > rank * HOUR_S
+        return self._sealed_for_s(hour) > rank * HOUR_S
+
+    def _sealed_for_s(self, hour: int) -> float:
+        """Return the seconds since the last period of ``hour`` could arrive.
 
-    def _sealed_s(self, hour: int) -> float:
-        """Return for how long no period of ``hour`` can have come."""
+        Negative while more periods can still be stored.
+        """
         ended_s = self._clock.wall() - (hour + HOUR_S)
         return ended_s - self._sealed_after_s
 
-    def _names(self, hour: int) -> list[str]:
-        following = self._history.single(hour, {})
+    def _period_names(self, hour: int) -> list[str]:
+        following = self._history.unmerged_periods(hour, {})
         same = itertools.takewhile(lambda each: each.hour == hour, following)
         return [each.name for each in same]
 
     def _read(self, name: str) -> bytes:
         return self._objects.get(name, priority=Priority.report)
 
-    def _merge(self, hour: int, names: list[str]) -> None:
-        # Reading gives way to requests between one period and the next.
+    def _merge_hour(self, hour: int, names: list[str]) -> None:
+        # Reading an object lets other greenlets run, so requests are served
+        # between one period and the next.
         periods = (decode_period(self._read(name)) for name in names)
         unique = new_id('h', self._clock)
         name = f'slo-merged/{hour:012}-{unique}'
@@ -121,7 +132,10 @@
 
 
 def merge_due_hours(merger: HourMerger) -> None:
-    """Merge every hour that is due; an outage puts the rest off."""
+    """Merge every hour that is due.
+
+    If the store is unavailable, the remaining hours are left to a later call.
+    """
     try:
         for _ in iter(merger.step, None):
             gevent.sleep(0)
--- a/cactusridge/slo/objectives.py
+++ b/cactusridge/slo/objectives.py
@@ -1,33 +1,38 @@
-"""What is promised of a service, counted; how fast a budget burns."""
+"""Measures services against their objectives; computes burn rates."""
 
 from typing import NamedTuple
 
 from cactusridge.settings.schema import ObjectiveSettings
 from cactusridge.slo.window import (
-    NOTHING,
+    NO_COUNTS,
     Quantity,
     ServiceWindow,
     split_at,
 )
 
-NONE_ALLOWED = 1
-# Burn of an objective that allows nothing bad, once something was.
-VIOLATED = 1_000_000
+PERFECT_TARGET = 1
+# Burn rate reported once an objective with a target of 100 % has been missed,
+# as it has no error budget to divide by.
+VIOLATED_BURN = 1_000_000
 
 
 class Measure(NamedTuple):
-    """An objective's target share and the counts against it."""
+    """The target share of an objective and its good and bad counts."""
 
     target: float
     counted: Quantity
 
     def burn(self) -> float:
-        """Return how many times faster than allowed the budget goes."""
+        """Return the burn rate.
+
+        At a rate of 1 the share of bad events is exactly the share that the
+        target allows; at a rate of 2 it is twice that share.
+        """
         total = self.counted.good + self.counted.bad
         if not total or not self.counted.bad:
             return 0
-        if self.target >= NONE_ALLOWED:
-            return VIOLATED
+        if self.target >= PERFECT_TARGET:
+            return VIOLATED_BURN
         return self.counted.bad / total / (1 - self.target)
 
 
@@ -35,10 +40,10 @@
     window: ServiceWindow,
     objective: ObjectiveSettings,
 ) -> dict[str, Measure]:
-    """Return the measure of each objective over ``window``."""
+    """Return the measure of each objective over ``window`` by its name."""
     first = split_at(window.first, objective.first_token_s)
     between = split_at(window.between, objective.between_tokens_s)
-    once = window.batch.get('exactly_once', NOTHING)
+    once = window.batch.get('exactly_once', NO_COUNTS)
     return {
         'availability': Measure(
             objective.availability,
@@ -48,20 +53,20 @@
         'between_tokens': Measure(objective.latency_share, between),
         'due_met': Measure(
             objective.due_met,
-            window.batch.get('due_met', NOTHING),
+            window.batch.get('due_met', NO_COUNTS),
         ),
-        'exactly_once': Measure(NONE_ALLOWED, once),
+        'exactly_once': Measure(PERFECT_TARGET, once),
     }
 
 
-# A page: 2% of a quarter's budget within an hour; a ticket: 10% in
-# three days. Source: the usual multi-window thresholds.
+# The usual thresholds of multi-window burn rate alerts: a page for 2% of a
+# quarter's budget within an hour, a ticket for 10% within three days.
 PAGE_BURN = 14.4
 TICKET_BURN = 6
 
 
 class AlertRule(NamedTuple):
-    """Both windows have to burn faster than ``rate``."""
+    """Alerts if the burn rates of both windows are above ``rate``."""
 
     severity: str
     short: str
@@ -76,7 +81,7 @@
 
 
 def alerts(rates: dict[str, dict[str, float]]) -> list[dict[str, object]]:
-    """Return the alerts that the burn by window and objective raises."""
+    """Return the alerts for burn rates by window and objective."""
     return [
         {
             'severity': rule.severity,
--- a/cactusridge/slo/recorder.py
+++ b/cactusridge/slo/recorder.py
@@ -1,4 +1,4 @@
-"""Counts answers and batch items by service; flushes them by period."""
+"""Counts responses and batch items by service and stores the counts."""
 
 from typing import Protocol
 
@@ -13,23 +13,23 @@
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.table import Priority
 
-KEPT_S = 7200
-KEPT_PERIODS = 8
+MIN_RETENTION_S = 7200
+MIN_RETENTION_PERIODS = 8
 GRACE_PERIODS = 2
 
 
-def kept_s(period_s: float) -> float:
-    """Return for how many seconds a period waits for the store."""
-    return max(KEPT_S, KEPT_PERIODS * period_s)
+def retention_s(period_s: float) -> float:
+    """Return for how many seconds an unsent period is kept for a retry."""
+    return max(MIN_RETENTION_S, MIN_RETENTION_PERIODS * period_s)
 
 
 def seal_s(period_s: float) -> float:
-    """Return after how many seconds no period can come any more."""
-    return kept_s(period_s) + GRACE_PERIODS * period_s
+    """Return the seconds after which a period can no longer be stored."""
+    return retention_s(period_s) + GRACE_PERIODS * period_s
 
 
-class Recorded(Protocol):
-    """What is recorded of an answer."""
+class RecordedAnswer(Protocol):
+    """The attributes of a response that are recorded, times in seconds."""
 
     good: bool
     first_s: float | None
@@ -37,12 +37,12 @@
 
 
 class SloRecorder:
-    """Windows by service, put into the object store once a period.
+    """Counts by service; each flush stores the counts as a period.
 
-    Every period is written, also one without a request: a period that
-    is missing then means that its entry vanished, never that it was
-    idle. Periods are numbered, and the last one says that its process
-    stopped as planned, so that a gap can be named.
+    A period is written even if it had no requests, so that a missing period
+    always means that the entry failed and not that it was idle. Periods have
+    serial numbers, and the last one is marked when the process shuts down as
+    planned, so that the report can list the gaps.
     """
 
     def __init__(
@@ -53,7 +53,11 @@
         clock: Clock,
         watch: BurnWatch | None = None,
     ) -> None:
-        """Flush to ``objects`` under this process's name."""
+        """Store the periods of ``entry`` in ``objects``.
+
+        The caller flushes every ``period_s`` seconds. If there is a
+        ``watch``, each flush also adds the counts to it.
+        """
         self.period_s = period_s
         self._entry = entry
         self._objects = objects
@@ -63,10 +67,10 @@
         self._start = int(clock.wall())
         self._windows: dict[str, ServiceWindow] = {}
         self._unsent: list[tuple[int, str, bytes]] = []
-        self._sending = RLock()
+        self._send_lock = RLock()
 
-    def record(self, service: str, sample: Recorded) -> None:
-        """Count one answer of ``service``."""
+    def record(self, service: str, sample: RecordedAnswer) -> None:
+        """Count one response of ``service``."""
         self._window(service).add(
             sample.good,
             sample.first_s,
@@ -74,15 +78,19 @@
         )
 
     def record_due(self, service: str, items: Quantity) -> None:
-        """Count batch items that were done by their due time, or after."""
+        """Count batch items: good if done by their due time, else bad."""
         self._window(service).count('due_met', items)
 
     def record_once(self, service: str, items: Quantity) -> None:
-        """Count audited batch items with one result, or another number."""
+        """Count audited batch items: good with exactly one result, else bad."""
         self._window(service).count('exactly_once', items)
 
     def flush(self, last: bool = False) -> None:
-        """Store the period that ends now; keep it if the store is down."""
+        """End the current period and store it.
+
+        A period that cannot be stored is kept for the next flush. ``last``
+        marks the last period before a planned shutdown.
+        """
         now = int(self._clock.wall())
         run = Run(
             self._entry,
@@ -109,18 +117,19 @@
         return self._windows.setdefault(service, ServiceWindow())
 
     def _send(self) -> None:
-        """Store what is unsent, in one greenlet at a time.
+        """Store the unsent periods, oldest first.
 
-        Guards against a flush at the stop that takes away the period that
-        another one has just stored.
+        The lock allows one greenlet at a time. Otherwise the flush at
+        shutdown could run during another flush, and one of them would remove
+        a period that it has not stored.
         """
-        with self._sending:
-            self._drop_old()
+        with self._send_lock:
+            self._drop_expired()
             while self._unsent and self._send_first():
                 self._unsent.pop(0)
 
     def _send_first(self) -> bool:
-        """Store the oldest period; tell whether the store has it."""
+        """Store the oldest unsent period; return whether this succeeded."""
         _, name, body = self._unsent[0]
         try:
             self._objects.put(name, body, Priority.report)
@@ -129,12 +138,12 @@
             return False
         return True
 
-    def _drop_old(self) -> None:
-        """Drop what would come after its hour has been merged.
+    def _drop_expired(self) -> None:
+        """Drop unsent periods that could be stored after their hour is merged.
 
-        The number it leaves out shows in every report.
+        The reports show the missing serial number as a gap.
         """
-        oldest = self._clock.wall() - kept_s(self.period_s)
+        oldest = self._clock.wall() - retention_s(self.period_s)
         while self._unsent and self._unsent[0][0] < oldest:
             _, name, _ = self._unsent.pop(0)
             logs.emit(events.REPORT_LOST, name=name)
--- a/cactusridge/slo/sample.py
+++ b/cactusridge/slo/sample.py
@@ -1,4 +1,4 @@
-"""Measures one answer as its caller sees it."""
+"""Measures the latency and outcome of one response to a caller."""
 
 from typing import NamedTuple
 
@@ -14,7 +14,11 @@
 
 
 class Sample(NamedTuple):
-    """One answer: seconds to the first byte and between tokens."""
+    """One response: its outcome and its latencies in seconds.
+
+    ``first_s`` is the time to the first byte, ``between_s`` the mean time
+    between tokens; each is None if it was not measured.
+    """
 
     good: bool
     first_s: float | None = None
@@ -22,7 +26,7 @@
 
 
 class AnswerTimer:
-    """Times one answer and records it once."""
+    """Measures one response and records it in the SLO counts."""
 
     def __init__(
         self,
@@ -30,32 +34,32 @@
         service: Service,
         clock: Clock,
     ) -> None:
-        """Start at the arrival of the request."""
+        """Start the clock; create it when the request arrives."""
         self._recorder = recorder
         self._service = service
         self._clock = clock
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
         self._first: float | None = None
-        self._last = self._began
+        self._last = self._started_at
         self._tokens = 0
 
     def block(self, block: bytes) -> None:
-        """Note a block of a streamed answer."""
+        """Record the arrival of a block of a streamed response."""
         now = self._clock.monotonic()
         if self._first is None:
-            self._first = now - self._began
+            self._first = now - self._started_at
             labels = {'service': self._service.path}
             metrics.TTFT.observe(labels, self._first)
         self._last = now
         self._tokens += block.count(EVENT_MARK)
 
     def finished(self, status: int) -> None:
-        """Record an answer that came whole."""
+        """Record a response that was sent completely."""
         good = status < SERVER_FAULT and status != TOO_MANY
         self._record('answered', good)
 
     def refused(self, exc: CactusridgeError) -> None:
-        """Record a request that got an error instead of an answer."""
+        """Record a request that was answered with the error ``exc``."""
         if isinstance(exc, CallerGone):
             self.abandoned()
             return
@@ -63,7 +67,7 @@
         self._record(exc.code, good)
 
     def abandoned(self) -> None:
-        """Count a caller that hung up; it is neither good nor bad."""
+        """Count a request whose caller disconnected as neither good nor bad."""
         self._count('abandoned')
 
     def _record(self, outcome: str, good: bool) -> None:
@@ -74,7 +78,7 @@
     def _between(self) -> float | None:
         if self._first is None or self._tokens < 2:
             return None
-        spent_s = self._last - self._began - self._first
+        spent_s = self._last - self._started_at - self._first
         return spent_s / (self._tokens - 1)
 
     def _count(self, outcome: str) -> None:
--- a/cactusridge/slo/window.py
+++ b/cactusridge/slo/window.py
@@ -4,14 +4,17 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
+MIN_US = 1
+MAX_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 MICROSECONDS = 1_000_000
 
 
 class EncodedWindow(TypedDict):
-    """A window as it is stored; the histograms are HdrHistogram text."""
+    """The stored form of a window.
+
+    ``first`` and ``between`` are histograms in HdrHistogram's text encoding.
+    """
 
     good: int
     bad: int
@@ -21,27 +24,30 @@
 
 
 class Quantity(NamedTuple):
-    """Counts on both sides of a limit."""
+    """Numbers of good and bad events."""
 
     good: int
     bad: int
 
     def plus(self, other: 'Quantity') -> 'Quantity':
-        """Return the sum of both."""
+        """Return the sums of both counts with those of ``other``."""
         return Quantity(self.good + other.good, self.bad + other.bad)
 
 
-NOTHING = Quantity(0, 0)
+NO_COUNTS = Quantity(0, 0)
 
 
 class ServiceWindow:
-    """Good and bad answers, their times in microseconds, batch items.
+    """Counts of good and bad responses and batch items, and latencies.
+
+    ``first`` and ``between`` are histograms, in microseconds, of the time to
+    the first byte and of the time between tokens.
 
     ``batch`` counts items by objective, ``due_met`` or ``exactly_once``.
     """
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Create a window with all counts at zero."""
         self.good = 0
         self.bad = 0
         self.first = new_histogram()
@@ -54,17 +60,17 @@
         first_s: float | None,
         between_s: float | None,
     ) -> None:
-        """Count one answer."""
+        """Count one response with its latencies in seconds, if measured."""
         self.good += int(good)
         self.bad += int(not good)
         if first_s is not None:
-            self.first.record_value(to_us(first_s))
+            self.first.record_value(to_microseconds(first_s))
         if between_s is not None:
-            self.between.record_value(to_us(between_s))
+            self.between.record_value(to_microseconds(between_s))
 
     def count(self, objective: str, items: Quantity) -> None:
-        """Count batch items against an objective."""
-        known = self.batch.get(objective, NOTHING)
+        """Add good and bad batch items to the counts of ``objective``."""
+        known = self.batch.get(objective, NO_COUNTS)
         self.batch[objective] = known.plus(items)
 
     def merge(self, other: 'ServiceWindow') -> None:
@@ -77,7 +83,7 @@
             self.count(objective, items)
 
     def encode(self) -> EncodedWindow:
-        """Return the window as it is stored."""
+        """Return the stored form of the window."""
         return EncodedWindow(
             good=self.good,
             bad=self.bad,
@@ -88,7 +94,7 @@
 
     @classmethod
     def decode(cls, stored: EncodedWindow) -> 'ServiceWindow':
-        """Return the window that was stored."""
+        """Return the window from its stored form."""
         window = cls()
         window.good = stored['good']
         window.bad = stored['bad']
@@ -100,22 +106,25 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram over a microsecond to an hour."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return an empty histogram for one microsecond to one hour."""
+    return HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
 
 
-def to_us(seconds: float) -> int:
-    """Return whole microseconds within the histogram's bounds."""
+def to_microseconds(seconds: float) -> int:
+    """Convert seconds to microseconds, clamped to the histogram's range."""
     wanted = int(seconds * MICROSECONDS)
-    return max(LOWEST_US, min(HIGHEST_US, wanted))
+    return max(MIN_US, min(MAX_US, wanted))
 
 
 def split_at(histogram: HdrHistogram, limit_s: float) -> Quantity:
-    """Return the counts at or under ``limit_s`` and over it."""
+    """Return the counts of ``histogram`` up to ``limit_s`` and above it.
+
+    ``limit_s`` is in seconds. A bucket that contains the limit counts as good.
+    """
     total = histogram.get_total_count()
     if not total:
         return Quantity(0, 0)
-    limit = to_us(limit_s)
+    limit = to_microseconds(limit_s)
     under = sum(
         recorded.count_added_in_this_iter_step
         for recorded in histogram.get_recorded_iterator()
