--- a/cactusridge/sidecar/lane.py
+++ b/cactusridge/sidecar/lane.py
@@ -51,7 +51,7 @@
     def observe(self, watch: Stopwatch, gap_s: float) -> None:
         """Record the ``gap_s`` seconds that a token of a stream took.
 
-        The first gap that ``stopwatch`` measured is the time to first token.
+        The first gap that ``watch`` measured is the time to first token.
         """
         first_s = watch.first_s
         if first_s is not None and first_s == gap_s:
--- a/cactusridge/sidecar/run.py
+++ b/cactusridge/sidecar/run.py
@@ -161,7 +161,7 @@
     def _timed_body(self, answer: Answer, watch: Stopwatch) -> Iterator[bytes]:
         try:
             for block in answer.body:
-                gap_s = watch.token()
+                gap_s = watch.record_token()
                 if self.order.streamed:
                     self._lane.observe(watch, gap_s)
                 yield block
--- a/cactusridge/sidecar/stopwatch.py
+++ b/cactusridge/sidecar/stopwatch.py
@@ -12,7 +12,7 @@
         self.last_at = self.sent_at
         self.first_s: float | None = None
 
-    def token(self) -> float:
+    def record_token(self) -> float:
         """Record a token; return the seconds since the previous one.
 
         For the first token, these are the seconds since the request.
--- a/tests/quarter.py
+++ b/tests/quarter.py
@@ -1,4 +1,4 @@
-"""Some days of answers, replayed, and every event that was seen."""
+"""Simulated days of SLO samples, with all raw samples for comparison."""
 
 import random
 from collections.abc import Callable
@@ -18,14 +18,18 @@
 OBJECTIVE = ObjectiveSettings()
 
 
-def clear_of(limit: float, seconds: float) -> float:
-    """Keep a time off the limit by more than the histogram's 1%."""
+def avoid_limit(limit: float, seconds: float) -> float:
+    """Return ``seconds``, or twice ``limit`` if they are within 2% of it.
+
+    The histogram has an error of 1%, so that a time close to the limit could
+    be counted on the wrong side.
+    """
     near = abs(seconds - limit) < limit / 50
     return limit * 2 if near else seconds
 
 
 class Quarter:
-    """Entries that answer for some days, and every event they saw."""
+    """Two simulated entries that record samples for some days."""
 
     def __init__(
         self,
@@ -33,7 +37,7 @@
         days: int,
         after_hour: Callable[['Quarter'], object] = bool,
     ) -> None:
-        """Replay ``days`` days of two entries; call back each hour."""
+        """Simulate ``days`` days; call ``after_hour`` after each hour."""
         rng = random.Random(seed)
         self.clock = ManualClock(START)
         self.objects = MemoryObjects()
@@ -52,32 +56,32 @@
             after_hour(self)
 
     def hour(self, recorder: SloRecorder, rng: random.Random) -> None:
-        """Record an hour's events at one entry."""
+        """Record the random samples of one hour at one entry."""
         for _ in range(rng.randrange(6)):
             sample = Sample(
                 rng.randrange(10) > 0,
-                clear_of(OBJECTIVE.first_token_s, rng.expovariate(8)),
-                clear_of(OBJECTIVE.between_tokens_s, rng.expovariate(60)),
+                avoid_limit(OBJECTIVE.first_token_s, rng.expovariate(8)),
+                avoid_limit(OBJECTIVE.between_tokens_s, rng.expovariate(60)),
             )
             recorder.record(SERVICE, sample)
             self.events.append((self.clock.wall(), sample))
 
     def report(self) -> dict:
-        """Return the report now."""
+        """Return the burn report at the current time of the clock."""
         reporter = BurnReporter(SloHistory(self.objects, self.table))
         return reporter.report(SERVICE, OBJECTIVE, self.clock.wall())
 
-    def naive(self, length_s: float) -> dict[str, float]:
-        """Return the burn over a window, from the raw events."""
-        # A period counts when it ends within the window.
+    def expected_burn(self, length_s: float) -> dict[str, float]:
+        """Compute the burn rates of the last ``length_s`` s from samples."""
+        # A window includes each period that ends within it.
         since = self.clock.wall() - length_s - PERIOD_S
-        found = [sample for at, sample in self.events if at >= since]
+        samples = [sample for at, sample in self.events if at >= since]
         limits = OBJECTIVE.first_token_s, OBJECTIVE.between_tokens_s
         late = 1 - OBJECTIVE.latency_share
-        count = len(found)
-        slow = sum(each.first_s > limits[0] for each in found)
-        spread = sum(each.between_s > limits[1] for each in found)
-        bad = sum(not each.good for each in found)
+        count = len(samples)
+        slow = sum(each.first_s > limits[0] for each in samples)
+        spread = sum(each.between_s > limits[1] for each in samples)
+        bad = sum(not each.good for each in samples)
         return {
             'availability': bad / count / (1 - OBJECTIVE.availability),
             'first_token': slow / count / late,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission decisions by themselves, beside their naive versions."""
+"""Unit tests of the admission policies, compared with the baselines."""
 
 import unittest
 from collections import Counter
@@ -23,35 +23,35 @@
 
 
 class TestLimits(unittest.TestCase):
-    """How many online requests may be at the upstream."""
+    """The limit on running online requests follows the objective."""
 
     def setUp(self):
-        """Start with all slots."""
+        """Create a limit that allows all slots."""
         self.clock = ManualClock()
         self.limit = ObjectiveLimit(SLOTS, OBJECTIVE, self.clock)
 
     def observe(self, first_s: float, times: int) -> int:
-        """Observe some first tokens; return the limit then."""
+        """Observe a time to first token repeatedly; return the limit."""
         for _ in range(times):
             self.clock.advance(1)
             self.limit.observe(first_s, SLOTS)
         return self.limit.current()
 
     @params((0.1, 16), (0.31, 16), (0.33, 4), (5, 4))
-    def test_objective(self, first_s, wanted):
-        """It shrinks in danger only, never under a quarter."""
-        naive = FixedLimit(SLOTS)
-        naive.observe(first_s, SLOTS)
-        self.assertEqual(wanted, self.observe(first_s, 40))
-        self.assertEqual(SLOTS, naive.current())
+    def test_objective(self, first_s, expected):
+        """The limit shrinks only above half the objective, to 1/4 at least."""
+        baseline = FixedLimit(SLOTS)
+        baseline.observe(first_s, SLOTS)
+        self.assertEqual(expected, self.observe(first_s, 40))
+        self.assertEqual(SLOTS, baseline.current())
 
     def test_grows_back(self):
-        """What was cut comes back once first tokens are early."""
+        """The limit grows to all slots again after short first-token times."""
         self.observe(0.6, 40)
         self.assertEqual(SLOTS, self.observe(0.1, 200))
 
-    def test_one_cut_for_a_wave(self):
-        """Requests that were on their way together cut once."""
+    def test_one_decrease_per_wave(self):
+        """Requests that were in flight together decrease the limit once."""
         self.clock.advance(10)
         for _ in range(12):
             self.limit.observe(0.6, SLOTS)
@@ -59,12 +59,12 @@
 
 
 class TestControllers(unittest.TestCase):
-    """How much batch runs beside online."""
+    """The number of batch requests adapts to the online load."""
 
     def setUp(self):
-        """Start with an idle engine."""
+        """Create controllers for an idle engine."""
         self.clock = ManualClock()
-        self.naive = FillController(SLOTS)
+        self.baseline = FillController(SLOTS)
         self.controller = ObjectiveController(
             SLOTS,
             OBJECTIVE,
@@ -73,59 +73,59 @@
         )
 
     def after(self, seconds: float, load: OnlineLoad = IDLE) -> int:
-        """Return the level some time later."""
+        """Return the batch limit under ``load`` after some seconds."""
         self.clock.advance(seconds)
         return self.controller.limit(load)
 
     def test_idle_engine_is_filled(self):
-        """Without online requests batch has every slot."""
+        """Batch requests may use every slot while no online request runs."""
         self.assertEqual(SLOTS, self.after(0))
 
     def test_waiting_online_stops_batch(self):
-        """One online request that waits leaves nothing to batch."""
+        """The batch limit is 0 while an online request waits."""
         waits = OnlineLoad(3, 1)
         self.assertEqual(0, self.after(0, waits))
-        self.assertEqual(SLOTS - 3, self.naive.limit(waits))
+        self.assertEqual(SLOTS - 3, self.baseline.limit(waits))
 
-    def test_recent_use_is_kept_free(self):
-        """Slots online just used stay free; an idle second fills them."""
+    def test_recent_peak_is_reserved(self):
+        """Recently used online slots stay reserved for less than 1.5 s."""
         self.after(0, OnlineLoad(5, 0))
         self.assertEqual(SLOTS - 5, self.after(0.5))
         self.assertEqual(SLOTS, self.after(1))
-        self.assertEqual(SLOTS, self.naive.limit(IDLE))
+        self.assertEqual(SLOTS, self.baseline.limit(IDLE))
 
     @params((0.02, 16), (0.05, 1))
-    def test_times_between_tokens(self, gap_s, wanted):
-        """It yields down to one when online is pressed, and comes back."""
+    def test_times_between_tokens(self, gap_s, expected):
+        """The limit drops to 1 at a slow token rate and recovers after it."""
         for _ in range(20):
             self.controller.between_tokens(gap_s)
             found = self.after(TICK_S)
-        self.assertEqual(wanted, found)
+        self.assertEqual(expected, found)
         for _ in range(10):
             found = self.after(TICK_S)
         self.assertEqual(SLOTS, found)
 
 
 class TestFairQueue(unittest.TestCase):
-    """Whose turn it is."""
+    """Teams are served by share, and entries of a team by rank."""
 
     def served(self, queue: FairQueue, count: int) -> Counter[str]:
-        """Return how often each team is served next."""
+        """Pop ``count`` entries; return the number of each."""
         return Counter(queue.pop() for _ in range(count))
 
     @params((1, 1, 10, 10), (3, 1, 15, 5))
-    def test_shares(self, first, second, wanted_first, wanted_second):
-        """Teams that wait are served in proportion to their shares."""
+    def test_shares(self, first, second, expected_first, expected_second):
+        """Teams with waiting entries are served in proportion to shares."""
         queue = FairQueue()
         for _ in range(100):
             queue.push('a', first, 0, 'a')
         for _ in range(100):
             queue.push('b', second, 0, 'b')
-        wanted = Counter(a=wanted_first, b=wanted_second)
-        self.assertEqual(wanted, self.served(queue, 20))
+        expected = Counter(a=expected_first, b=expected_second)
+        self.assertEqual(expected, self.served(queue, 20))
 
     def test_flood_of_one_team(self):
-        """A team with one request need not wait behind a flood."""
+        """One entry of a team is served soon despite a long queue."""
         queue = FairQueue()
         for _ in range(100):
             queue.push('flood', 1, 0, 'flood')
@@ -133,8 +133,8 @@
         queue.push('late', 1, 0, 'late')
         self.assertIn('late', self.served(queue, 2))
 
-    def test_absence_saves_nothing(self):
-        """A team that was away gets its share, not what it missed."""
+    def test_idle_team_gains_no_credit(self):
+        """A team that was idle gets its share, not the turns it missed."""
         queue = FairQueue()
         queue.push('b', 1, 0, 'b')
         queue.pop()
@@ -146,14 +146,14 @@
         self.assertLessEqual(self.served(queue, 10)['b'], 6)
 
     def test_least_slack_first(self):
-        """Within a team the one due first goes first."""
+        """The entry with the least slack of a team is served first."""
         queue = FairQueue()
         for slack in (30, 10, 20):
             queue.push('a', 1, slack, slack)
         self.assertEqual([10, 20, 30], [queue.pop() for _ in range(3)])
 
     def test_discard(self):
-        """Who has gone is not served; the others are."""
+        """A discarded entry is not served, and other entries are."""
         queue = FairQueue()
         entries = [object(), object()]
         for entry in entries:
@@ -166,26 +166,26 @@
 
 
 class TestDrainRate(unittest.TestCase):
-    """How long a wait will be."""
+    """The expected wait follows the interval between slot releases."""
 
     def setUp(self):
-        """Work steadily, a slot each 50 ms."""
+        """Release a slot every 50 ms while requests wait."""
         self.clock = ManualClock()
         self.rate = DrainRate(self.clock)
         self.work(50)
 
     def work(self, releases: int) -> None:
-        """Release slots while others wait."""
+        """Release slots while requests wait, one every 50 ms."""
         for _ in range(releases):
             self.clock.advance(0.05)
             self.rate.released(waiting=True)
 
     def test_steady(self):
-        """Twenty ahead take a second."""
+        """The wait for 20 slots is 1 s."""
         self.assertAlmostEqual(1, self.rate.wait_s(20), places=2)
 
-    def test_idle_time_is_no_work(self):
-        """A burst after an idle minute is judged by how fast it goes."""
+    def test_idle_time_is_ignored(self):
+        """An idle minute before a burst does not change the expected wait."""
         self.clock.advance(0.05)
         self.rate.released(waiting=False)
         self.clock.advance(60)
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""The burn report against a naive one from the raw events."""
+"""Compares the burn report with one computed from the raw samples."""
 
 import unittest
 
@@ -18,29 +18,29 @@
 
 
 class TestBurn(unittest.TestCase):
-    """What is reported is what happened."""
+    """The report matches the samples and lists missing periods."""
 
     @given(st.integers(0, 1000), st.integers(1, 4))
     @settings(max_examples=6, deadline=None, derandomize=True)
     def test_matches_the_naive_report(self, seed, days):
-        """Every window burns as the raw events say."""
+        """The burn rates of every window match those of the raw samples."""
         quarter = Quarter(seed, days)
-        found = quarter.report()['burn']
+        burn_report = quarter.report()['burn']
         for name, length_s in WINDOWS:
-            wanted = quarter.naive(length_s)
-            for kind, rate in wanted.items():
-                self.assertAlmostEqual(rate, found[name][kind])
+            expected = quarter.expected_burn(length_s)
+            for kind, rate in expected.items():
+                self.assertAlmostEqual(rate, burn_report[name][kind])
 
     def test_budget_left_over_a_quarter(self):
-        """A fortnight at burn one leaves the rest of the quarter."""
+        """After 14 days, the used budget is the burn rate times 14/92."""
         quarter = Quarter(1, 14)
-        found = quarter.report()
-        rate = found['burn']['quarter']['availability']
-        left = found['objectives']['availability']['budget_left']
+        burn_report = quarter.report()
+        rate = burn_report['burn']['quarter']['availability']
+        left = burn_report['objectives']['availability']['budget_left']
         self.assertAlmostEqual(1 - rate * 14 / 92, left, places=6)
 
     def test_lost_entry_is_named(self):
-        """An entry that vanished leaves a gap that the report shows."""
+        """The report lists a gap for an entry that stopped unexpectedly."""
         quarter = Quarter(2, 1)
         quarter.clock.advance(3 * PERIOD_S)
         missing = quarter.report()['missing']
@@ -48,7 +48,7 @@
         self.assertEqual({START + DAY_S}, {gap['after'] for gap in missing})
 
     def test_lost_period_in_the_middle(self):
-        """A number left out is a gap; a planned end is none."""
+        """A missing serial number is a gap, a planned shutdown is not."""
         clock = ManualClock(START)
         objects = MemoryObjects()
         recorder = SloRecorder('e', objects, PERIOD_S, clock)
@@ -58,14 +58,14 @@
         objects.stored.pop(sorted(objects.stored)[1])
         clock.advance(DAY_S)
         reporter = BurnReporter(SloHistory(objects, MemoryTable()))
-        found = reporter.report(SERVICE, OBJECTIVE, clock.wall())
+        burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
         self.assertEqual(
             [{'entry': 'e', 'after': START + PERIOD_S, 'serial': 1}],
-            found['missing'],
+            burn_report['missing'],
         )
 
-    def test_outage_loses_nothing(self):
-        """Periods that could not be stored are stored afterwards."""
+    def test_store_outage(self):
+        """Periods that end during a store outage are stored after it."""
         clock = ManualClock(START)
         objects = Failing()
         recorder = SloRecorder('e', objects, PERIOD_S, clock)
@@ -75,12 +75,12 @@
             clock.advance(PERIOD_S)
             recorder.flush()
         reporter = BurnReporter(SloHistory(objects, MemoryTable()))
-        found = reporter.report(SERVICE, OBJECTIVE, clock.wall())
-        self.assertEqual(5, found['objectives']['availability']['good'])
-        self.assertEqual([], found['missing'])
+        burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
+        self.assertEqual(5, burn_report['objectives']['availability']['good'])
+        self.assertEqual([], burn_report['missing'])
 
     def test_alert_needs_both_windows(self):
-        """A page is for a fast burn that lasts."""
+        """A high burn rate in both windows raises a page and a ticket."""
         clock = ManualClock(START)
         objects = MemoryObjects()
         recorder = SloRecorder('e', objects, PERIOD_S, clock)
@@ -91,19 +91,19 @@
             clock.advance(PERIOD_S)
             recorder.flush()
         reporter = BurnReporter(SloHistory(objects, MemoryTable()))
-        found = reporter.report(SERVICE, OBJECTIVE, clock.wall())
-        kinds = {each['severity'] for each in found['alerts']}
+        burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
+        kinds = {each['severity'] for each in burn_report['alerts']}
         self.assertEqual({'page', 'ticket'}, kinds)
         self.assertEqual([], find_gaps([], clock.wall(), PERIOD_S))
 
 
 class Failing(MemoryObjects):
-    """An object store that can be down."""
+    """An object store that can be made unavailable."""
 
     down = False
 
     def put(self, name: str, body: bytes, priority: int) -> None:
-        """Store, unless down."""
+        """Store an object; raise StoreUnavailable if ``down`` is set."""
         if self.down:
             raise StoreUnavailable(retry_after_s=1)
         super().put(name, body, priority)
--- a/tests/test_burn_watch.py
+++ b/tests/test_burn_watch.py
@@ -1,4 +1,4 @@
-"""Alerts rise from an entry's own counts, without the store."""
+"""An entry raises burn rate alerts from its own counts alone."""
 
 import unittest
 
@@ -20,10 +20,10 @@
 
 
 class TestBurnWatch(unittest.TestCase):
-    """The usual thresholds over two windows, said once."""
+    """Alerts follow multi-window thresholds and are logged once each."""
 
     def setUp(self):
-        """Watch one service from now on."""
+        """Watch one service and capture the log."""
         self.clock = ManualClock(1_000_000_000)
         self.watch = BurnWatch(lambda path: OBJECTIVE, self.clock)
         self.addCleanup(structlog.configure, **structlog.get_config())
@@ -40,7 +40,7 @@
         rate: int = 1000,
         period_s: float = LONG_PERIOD_S,
     ) -> list[tuple[str, str]]:
-        """Answer for some hours; return the alerts raised."""
+        """Count ``rate`` responses each period; return the alerts raised."""
         for _ in range(int(hours * HOUR_S / period_s)):
             self.clock.advance(period_s)
             window = ServiceWindow()
@@ -50,14 +50,14 @@
         return self.raised()
 
     def raised(self) -> list[tuple[str, str]]:
-        """Return the alerts raised since this was last asked."""
-        seen = [
+        """Return the alerts raised since the last call of this method."""
+        logged = [
             (each['severity'], each['objective'])
             for each in self.logs.entries
             if each['event'] == 'burn_alert'
         ]
         self.logs.entries.clear()
-        return sorted(seen)
+        return sorted(logged)
 
     @params(
         (FAST, ['page', 'ticket']),
@@ -65,38 +65,39 @@
         (WITHIN, []),
         (0, []),
     )
-    def test_thresholds(self, bad_share, wanted):
-        """Each speed of burning raises what it should, once."""
-        found = self.run_for(7, bad_share)
-        alerts = [(severity, 'availability') for severity in wanted]
-        self.assertEqual(alerts, found)
+    def test_thresholds(self, bad_share, expected):
+        """Each burn rate raises the expected alerts, once each."""
+        raised_alerts = self.run_for(7, bad_share)
+        alerts = [(severity, 'availability') for severity in expected]
+        self.assertEqual(alerts, raised_alerts)
 
     def test_short_burst_in_a_long_good_time(self):
-        """A burst that the long window does not show raises no page."""
+        """A burst too short for the long window raises no alert."""
         self.run_for(6, 0, period_s=PERIOD_S)
         minutes = BUCKET_S / HOUR_S
-        found = self.run_for(minutes, FAST * 10, period_s=PERIOD_S)
-        self.assertEqual([], found)
+        raised_alerts = self.run_for(minutes, FAST * 10, period_s=PERIOD_S)
+        self.assertEqual([], raised_alerts)
 
-    def test_said_again_only_after_its_end(self):
-        """An alert that goes on is silent; one that comes back is not."""
+    def test_logged_again_only_after_its_end(self):
+        """A continuing alert is not logged again, a returning one is."""
         first = self.run_for(7, FAST)
-        going_on = self.run_for(1, FAST)
+        continuing = self.run_for(1, FAST)
         self.run_for(80, 0)
         again = self.run_for(7, FAST)
-        self.assertEqual([], going_on)
+        self.assertEqual([], continuing)
         self.assertEqual(['page', 'ticket'], [name for name, _ in first])
-        # Seven hours of it are little in the last three days.
+        # Seven bad hours after 80 good ones do not reach the threshold of
+        # the three-day window, so that no ticket is raised.
         self.assertEqual([('page', 'availability')], again)
 
-    def test_too_few_to_tell(self):
-        """One bad answer among a handful raises nothing."""
+    def test_too_few_samples(self):
+        """A few bad responses raise no alert."""
         self.assertEqual([], self.run_for(0.2, 1, 1, PERIOD_S))
 
-    def test_one_item_not_once(self):
-        """A single item that has not one result raises at once."""
+    def test_item_without_exactly_one_result(self):
+        """One batch item without exactly one result raises alerts at once."""
         window = ServiceWindow()
         window.count('exactly_once', Quantity(100, 1))
         self.watch.add({SERVICE: window})
-        wanted = [('page', 'exactly_once'), ('ticket', 'exactly_once')]
-        self.assertEqual(wanted, self.raised())
+        expected = [('page', 'exactly_once'), ('ticket', 'exactly_once')]
+        self.assertEqual(expected, self.raised())
--- a/tests/test_hour_merger.py
+++ b/tests/test_hour_merger.py
@@ -1,4 +1,4 @@
-"""Hours are merged once; the report is the same before and after."""
+"""Each hour is merged once, and the merge does not change the report."""
 
 import unittest
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 def merger_of(quarter: Quarter, entry: str = 'a', names=('a',)) -> HourMerger:
-    """Return the merger of one entry over what was replayed."""
+    """Return the hour merger of ``entry`` over the simulated periods."""
     return HourMerger(
         quarter.objects,
         quarter.table,
@@ -31,50 +31,50 @@
 
 
 def sealed_hours(quarter: Quarter) -> set[int]:
-    """Return the hours to which no period can come any more."""
+    """Return the hours for which no more periods can be stored."""
     oldest = quarter.clock.wall() - SEALED_S
     hours = map(hour_of, quarter.objects.names('slo/'))
     return {hour for hour in hours if hour + HOUR_S < oldest}
 
 
 def merged_hours(quarter: Quarter) -> set[int]:
-    """Return the hours that a row names an object for."""
+    """Return the hours that have a row with a merged object."""
     rows = quarter.table.store.rows
     return {int(key.rpartition('/')[2]) for key in rows}
 
 
 class TestHourMerger(unittest.TestCase):
-    """Merging changes how much is read, never what is reported."""
+    """A merge reduces the objects to read and leaves the report as it is."""
 
     @given(st.integers(0, 1000), st.integers(1, 3))
     @settings(max_examples=6, deadline=None, derandomize=True)
     def test_same_report(self, seed, days):
-        """Every count, burn and gap is as before the merging."""
+        """All counts, burn rates and gaps are the same after the merge."""
         quarter = Quarter(seed, days)
         before = quarter.report()
         merge_due_hours(merger_of(quarter))
         self.assertEqual(before, quarter.report())
         for name, length_s in WINDOWS:
-            wanted = quarter.naive(length_s)
-            for kind, rate in wanted.items():
+            expected = quarter.expected_burn(length_s)
+            for kind, rate in expected.items():
                 self.assertAlmostEqual(rate, before['burn'][name][kind])
 
     def test_whole_quarter(self):
-        """92 days of two entries burn as their raw events say."""
+        """The burn rates of 92 days of two entries match the raw samples."""
         quarter = Quarter(10, QUARTER_DAYS)
         before = quarter.report()
         merge_due_hours(merger_of(quarter))
         self.assertEqual(before, quarter.report())
         self.assertEqual(sealed_hours(quarter), merged_hours(quarter))
         for name, length_s in WINDOWS:
-            wanted = quarter.naive(length_s)
-            found = {kind: before['burn'][name][kind] for kind in wanted}
-            for kind, rate in wanted.items():
-                self.assertAlmostEqual(rate, found[kind], msg=kind)
+            expected = quarter.expected_burn(length_s)
+            actual = {kind: before['burn'][name][kind] for kind in expected}
+            for kind, rate in expected.items():
+                self.assertAlmostEqual(rate, actual[kind], msg=kind)
         self.assertEqual([], before['missing'])
 
     def test_reads_one_object_an_hour(self):
-        """What is merged is not read again by period."""
+        """A report reads one object for each merged hour and no periods."""
         quarter = Quarter(3, 2)
         merge_due_hours(merger_of(quarter))
         quarter.objects.gets = 0
@@ -82,12 +82,12 @@
         merged = merged_hours(quarter)
         names = quarter.objects.names('slo/')
         single = [name for name in names if hour_of(name) not in merged]
-        wanted = len(merged) + len(single)
-        self.assertEqual(wanted, quarter.objects.gets)
-        self.assertLess(wanted, len(names) / 2 + len(single))
+        expected = len(merged) + len(single)
+        self.assertEqual(expected, quarter.objects.gets)
+        self.assertLess(expected, len(names) / 2 + len(single))
 
-    def test_two_at_once(self):
-        """The second to merge an hour changes nothing."""
+    def test_concurrent_mergers(self):
+        """Two mergers of the same hour insert one row and count it once."""
         quarter = Quarter(4, 1)
         before = quarter.report()
         first = merger_of(quarter)
@@ -105,8 +105,8 @@
         self.assertEqual(before, quarter.report())
 
     @params(FaultKind.lose_answer, FaultKind.cut, FaultKind.down)
-    def test_lost_between_object_and_row(self, fault):
-        """An hour whose naming failed is merged later, once."""
+    def test_failure_between_object_and_row(self, fault):
+        """An hour whose row could not be inserted is merged later, once."""
         quarter = Quarter(5, 1)
         before = quarter.report()
         quarter.table.faults.append(fault)
@@ -116,7 +116,7 @@
         self.assertEqual(sealed_hours(quarter), merged_hours(quarter))
 
     def test_outage_while_reading(self):
-        """The rest is put off, nothing is left out."""
+        """After a failed read, the next call merges the remaining hours."""
         quarter = Quarter(6, 1)
         before = quarter.report()
         quarter.objects.failing = 1
@@ -124,8 +124,8 @@
         merge_due_hours(merger_of(quarter))
         self.assertEqual(before, quarter.report())
 
-    def test_missing_periods_stay_named(self):
-        """A gap is still named when its hour has been merged."""
+    def test_missing_periods_stay_listed(self):
+        """The report still lists a gap after its hour has been merged."""
         quarter = Quarter(7, 1)
         lost = sorted(quarter.objects.stored)[10]
         quarter.objects.stored.pop(lost)
@@ -135,7 +135,7 @@
         self.assertEqual(before, quarter.report()['missing'])
 
     def test_entries_share_the_hours(self):
-        """Each hour is merged by one entry, and each has its share."""
+        """Each hour is merged by one entry, and every entry merges some."""
         done = Counter[str]()
 
         def merge(quarter: Quarter) -> None:
@@ -148,31 +148,31 @@
         self.assertEqual(set(NAMES), set(+done))
         self.assertEqual(done.total(), len(merged_hours(quarter)))
 
-    def test_entry_that_is_gone(self):
-        """The others stand in for it, an hour later each."""
+    def test_failed_entry(self):
+        """The other entries take over its hours, each an hour later."""
 
         def merge(quarter: Quarter) -> None:
             for name in NAMES[1:]:
                 merge_due_hours(merger_of(quarter, name, NAMES))
 
         quarter = Quarter(9, 2, merge)
-        wanted = sealed_hours(quarter)
+        expected = sealed_hours(quarter)
         quarter.clock.advance(len(NAMES) * HOUR_S)
         merge(quarter)
-        self.assertLessEqual(wanted, merged_hours(quarter))
+        self.assertLessEqual(expected, merged_hours(quarter))
 
-    def test_open_hours_are_left(self):
-        """An hour to which a period may still come is not merged."""
+    def test_open_hours_are_not_merged(self):
+        """An hour is not merged while more periods of it can be stored."""
         quarter = Quarter(9, 1)
         merge_due_hours(merger_of(quarter))
         self.assertEqual(sealed_hours(quarter), merged_hours(quarter))
 
 
 class TestUnavailable(unittest.TestCase):
-    """The merging loop survives what the store does."""
+    """The merge loop handles an unavailable store."""
 
     def test_table_down(self):
-        """A scan that fails is put off."""
+        """A failed scan raises no error and merges nothing."""
         quarter = Quarter(1, 1)
 
         def fail(*args) -> None:
--- a/tests/test_recorder_flush.py
+++ b/tests/test_recorder_flush.py
@@ -1,4 +1,4 @@
-"""Periods are stored once each, however many flushes meet."""
+"""Concurrent flushes store each period exactly once."""
 
 import unittest
 from unittest import mock
@@ -12,10 +12,13 @@
 
 
 class TestFlush(unittest.TestCase):
-    """The last flush of a stop comes while another one is under way."""
+    """Guards against a shutdown flush that runs during another flush.
 
-    def test_flushes_that_meet(self):
-        """Each period is stored once, none is lost, and none fails."""
+    Without the lock, one flush removed a period that was not stored yet.
+    """
+
+    def test_concurrent_flushes(self):
+        """Three concurrent flushes store three periods, without an error."""
         names = []
 
         def put(name, body, priority):
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -1,4 +1,4 @@
-"""Who is given up on is told at once, and when to come back."""
+"""A request that cannot be served in time is refused with Retry-After."""
 
 import unittest
 
@@ -22,10 +22,10 @@
 
 
 class TestRefusal(unittest.TestCase):
-    """Who is given up on is told at once, and when to come back."""
+    """The gate refuses an order at once if it expects to miss the deadline."""
 
     def setUp(self):
-        """Fill an upstream that frees a slot each second."""
+        """Fill the queue of an upstream that releases a slot each second."""
         cfg = UpstreamSettings(
             service='/teams/t/deployments/d/services/s',
             address='127.0.0.1:1',
@@ -53,7 +53,7 @@
             self.running = ready[-1].value
 
     def order(self, deadline_s: float) -> RunOrder:
-        """Return an online order."""
+        """Return an online order with the given deadline."""
         return RunOrder(
             id=f'r{id(self)}',
             incarnation='i',
@@ -65,14 +65,14 @@
         )
 
     def test_deadline_that_cannot_be_met(self):
-        """With a second a slot, half a second is refused without waiting."""
+        """A deadline of 0.5 s is refused when a slot takes 1 s."""
         with self.assertRaises(Overloaded) as refused:
             self.gate.enter(self.order(0.5))
         self.assertTrue(refused.exception.not_run)
         self.assertAlmostEqual(2, refused.exception.retry_after_s, places=2)
 
     def test_queue_that_is_full(self):
-        """The wait that is told grows with those ahead."""
+        """The retry time grows with the number of queued orders."""
         more = [gevent.spawn(self.gate.enter, self.order(60)) for _ in range(2)]
         self.addCleanup(gevent.killall, more)
         gevent.sleep(0)
@@ -82,7 +82,7 @@
 
 
 class TestComeBack(unittest.TestCase):
-    """Refusals that a later try may not meet say when that is."""
+    """Errors that may be temporary are sent with a Retry-After header."""
 
     @params(
         Overloaded,
@@ -92,6 +92,6 @@
         DeadlineExceeded,
     )
     def test_header(self, kind):
-        """Also where the code that raises it knows no better."""
+        """The error class has a default if no retry time is passed."""
         reply = error_reply(kind())
         self.assertGreaterEqual(int(dict(reply.headers)['Retry-After']), 1)
