--- a/cactusridge/store/__init__.py
+++ b/cactusridge/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store as the system sees it: tables, objects, list of hosts."""
+"""Clients of the platform's store: tables, objects and the host list."""
--- a/cactusridge/store/budget.py
+++ b/cactusridge/store/budget.py
@@ -1,4 +1,4 @@
-"""This process's share of the store's calls, by priority."""
+"""Rate limit of this process's calls to the store, by priority."""
 
 from cactusridge.clock import Clock
 from cactusridge.store.table import Priority
@@ -8,10 +8,10 @@
 
 
 class StoreBudget:
-    """A token bucket that keeps a reserve for each higher priority."""
+    """A token bucket that reserves tokens for calls of higher priority."""
 
     def __init__(self, clock: Clock, calls_per_s: float) -> None:
-        """Allow ``calls_per_s`` on average, with a burst of two seconds."""
+        """Allow ``calls_per_s`` on average, in bursts of up to two seconds."""
         self._clock = clock
         self._rate = calls_per_s
         self._capacity = calls_per_s * BURST_S
@@ -19,7 +19,7 @@
         self._filled = clock.monotonic()
 
     def take(self, priority: Priority) -> bool:
-        """Take one call for ``priority``; False when it has to wait."""
+        """Take a token for one call; return False if the call has to wait."""
         self._fill()
         reserve = self._capacity * RESERVE_SHARE * int(priority)
         if self._tokens - 1 < min(reserve, self._capacity - 1):
@@ -28,7 +28,7 @@
         return True
 
     def wait_s(self, priority: Priority) -> float:
-        """Return the seconds until a call for ``priority`` may fit."""
+        """Return the seconds until a call of ``priority`` may get a token."""
         self._fill()
         reserve = self._capacity * RESERVE_SHARE * int(priority)
         missing = min(reserve, self._capacity - 1) + 1 - self._tokens
--- a/cactusridge/store/contact.py
+++ b/cactusridge/store/contact.py
@@ -1,43 +1,46 @@
-"""Since when the store has answered this process without an outage.
+"""Tracks since when the store has answered without an outage.
 
-Answers three events that look alike on one watch: the store was away, it
-was away for this process alone, or one connection fell silent. The last
-is none, since other calls were answered meanwhile; the first two are told
-apart by what the peers say of theirs.
+On a single watch three events look alike: the store was unavailable to all
+processes, it was unreachable from this process alone, or one connection
+stopped receiving data. The last is no outage, because other calls to the
+store are answered in the meantime. The first two are distinguished by the
+peers' reports of their own contact with the store.
 """
 
 from cactusridge.clock import Clock
 
-# Silence on every connection to the store that counts as an outage, in
-# seconds: a watch is answered after 1.5 s at the latest, and half a
-# second. Entries of the list of replicas lapse after more than that.
-AWAY_S = 2.0
+# Seconds without an answer on any connection to the store after which an
+# outage is assumed: the store answers a watch within 1.5 s; 0.5 s is a
+# margin. Rows of the replica list expire only after a longer time.
+OUTAGE_S = 2.0
 
 
 class StoreContact:
-    """Notes every answer of the store; times are the clock's."""
+    """Records answers and outages of the store; times are in clock seconds."""
 
     def __init__(self, clock: Clock) -> None:
-        """Know of no answer; silence counts from now on."""
-        # Outages that have ended, one at the start among them.
+        """Start with no answer; the first outage is timed from now on."""
+        # The number of outages that have ended, including one that
+        # lasted from the start of the process.
         self.outages = 0
-        # The first answer of all, or after the last outage.
+        # The time of the first answer, or of the first answer after the
+        # last outage.
         self.since = float('inf')
         self._clock = clock
-        self._heard_at = clock.monotonic()
+        self._last_answer_at = clock.monotonic()
 
     def answered(self) -> None:
-        """Note an answer, which may end an outage."""
+        """Record an answer of the store, which may end an outage."""
         now = self._clock.monotonic()
-        if now - self._heard_at > AWAY_S:
+        if now - self._last_answer_at > OUTAGE_S:
             self.outages += 1
             self.since = now
         self.since = min(self.since, now)
-        self._heard_at = now
+        self._last_answer_at = now
 
     def lasts_s(self) -> float:
-        """Return for how long there has been no outage; 0 during one."""
+        """Return the seconds since the last outage ended; 0 during one."""
         now = self._clock.monotonic()
-        if now - self._heard_at > AWAY_S:
+        if now - self._last_answer_at > OUTAGE_S:
             return 0
         return max(0, now - self.since)
--- a/cactusridge/store/fields.py
+++ b/cactusridge/store/fields.py
@@ -1,80 +1,83 @@
-"""The fields of a decoded value, each checked when it is read."""
+"""Reads the fields of a decoded JSON object and checks their types."""
 
 import enum
 from typing import Any, Final, TypeVar
 
 from cactusridge.store.unreadable import UnreadableField
 
-# Stands for a field without a default: it has to be there.
+# The default of a field that must be present.
 REQUIRED: Final = object()
 
 WordT = TypeVar('WordT', bound=enum.StrEnum)
 
 
 def is_count(found: Any) -> bool:
-    """Tell whether a decoded value is a whole number from 0 on."""
+    """Return whether a decoded value is a non-negative integer."""
     return is_integer(found) and found >= 0
 
 
 def is_integer(found: Any) -> bool:
-    """Tell whether a decoded value is a whole number."""
+    """Return whether a decoded value is an integer; a bool is none."""
     return isinstance(found, int) and not isinstance(found, bool)
 
 
 class Fields:
-    """Reads the fields of an object; raises UnreadableField.
+    """Reads typed fields of a JSON object; raises UnreadableField.
 
-    Types are exact: a bool is no number and a text is none either. Null
-    counts as missing. Fields that nobody asks for are ignored.
+    Values are not converted: neither a bool nor a string is accepted as a
+    number. A null field counts as missing; a missing field has the default
+    or raises. Unknown fields are ignored.
     """
 
     def __init__(self, raw: Any) -> None:
-        """Read ``raw``, which has to be an object."""
+        """Read ``raw``; raise UnreadableField unless it is a dict."""
         if not isinstance(raw, dict):
-            raise UnreadableField(f'{type(raw).__name__} in place of an object')
+            raise UnreadableField(
+                f'expected an object, not {type(raw).__name__}'
+            )
         self._raw = raw
 
     def text(self, name: str, default: Any = REQUIRED) -> str:
-        """Return a text."""
+        """Return a string."""
         return self._of(str, name, default)
 
     def whole(self, name: str, default: Any = REQUIRED) -> int:
-        """Return a whole number from 0 on."""
+        """Return a non-negative integer."""
         found = self._of(int, name, default)
         if found is not default and not is_count(found):
-            raise UnreadableField(f'{name} is no whole number from 0 on')
+            raise UnreadableField(f'{name} is not a non-negative integer')
         return found
 
     def signed(self, name: str) -> int:
-        """Return a whole number, under 0 or not."""
+        """Return an integer, which may be negative."""
         found = self._of(int, name, REQUIRED)
         if not is_integer(found):
-            raise UnreadableField(f'{name} is a bool')
+            raise UnreadableField(f'{name} is a bool, not an integer')
         return found
 
     def number(self, name: str, default: Any = REQUIRED) -> float:
-        """Return a number from 0 on."""
+        """Return a non-negative number."""
         found = self._of((int, float), name, default)
         if found is default:
             return found
         if isinstance(found, bool) or found < 0:
-            raise UnreadableField(f'{name} is no number from 0 on')
+            raise UnreadableField(f'{name} is not a non-negative number')
         return found
 
     def flag(self, name: str, default: Any = REQUIRED) -> bool:
-        """Return a truth value."""
+        """Return a bool."""
         return self._of(bool, name, default)
 
     def listed(self, name: str, default: Any = REQUIRED) -> list[Any]:
-        """Return a list, its entries unchecked."""
+        """Return a list whose entries are not checked."""
         return self._of(list, name, default)
 
     def mapping(self, name: str, default: Any = REQUIRED) -> dict[str, Any]:
-        """Return an object, its fields unchecked."""
+        """Return a dict whose values are not checked."""
         return self._of(dict, name, default)
 
     def word(self, name: str, words: type[WordT]) -> WordT:
-        """Return one of the known ``words``."""
+        """Return the member of the enum ``words`` with the field's value."""
         found = self.text(name)
         try:
             return words(found)
@@ -82,31 +85,31 @@
             raise UnreadableField(f'{name}: {exc}') from exc
 
     def wholes(self, name: str) -> list[int]:
-        """Return a list of whole numbers from 0 on."""
+        """Return a list of non-negative integers."""
         found = self.listed(name)
         if not all(map(is_count, found)):
-            raise UnreadableField(f'{name} has more than whole numbers')
+            raise UnreadableField(f'{name} is not a list of counts')
         return found
 
     def counts(self, name: str, default: Any = REQUIRED) -> dict[str, int]:
-        """Return whole numbers from 0 on by text."""
+        """Return a dict of non-negative integers by string."""
         found = self.mapping(name, default)
         if not all(map(is_count, found.values())):
-            raise UnreadableField(f'{name} has more than whole numbers')
+            raise UnreadableField(f'{name} has a value that is no count')
         return found
 
     def integers(self, name: str, default: Any = REQUIRED) -> dict[str, int]:
-        """Return whole numbers, under 0 or not, by text."""
+        """Return a dict of integers by string; they may be negative."""
         found = self.mapping(name, default)
         if not all(map(is_integer, found.values())):
-            raise UnreadableField(f'{name} has more than whole numbers')
+            raise UnreadableField(f'{name} has a value that is no integer')
         return found
 
     def texts(self, name: str, default: Any = REQUIRED) -> dict[str, str]:
-        """Return texts by text."""
+        """Return a dict of strings by string."""
         found = self.mapping(name, default)
         if not all(isinstance(each, str) for each in found.values()):
-            raise UnreadableField(f'{name} has more than texts')
+            raise UnreadableField(f'{name} has a value that is no string')
         return found
 
     def _of(
@@ -115,6 +118,7 @@
         name: str,
         default: Any,
     ) -> Any:
+        """Return the field ``name``, or ``default`` if it is missing."""
         found = self._raw.get(name)
         if found is None:
             if default is REQUIRED:
--- a/cactusridge/store/host_list.py
+++ b/cactusridge/store/host_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts; it lags."""
+"""The platform's list of hosts, which lags behind their actual state."""
 
 import abc
 import enum
@@ -21,14 +21,14 @@
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host."""
+    """The state of a host according to the platform."""
 
     live = 'live'
     leaving = 'leaving'
 
 
 class Host(NamedTuple):
-    """A host of the fleet and what runs on it."""
+    """A host of the fleet and the services that run on it."""
 
     address: Address
     zone: str
@@ -38,15 +38,18 @@
 
 
 class HostList(abc.ABC):
-    """Where hosts are learned from."""
+    """A source of the fleet's hosts."""
 
     @abc.abstractmethod
     def hosts(self) -> list[Host]:
-        """Return the hosts as the platform last saw them."""
+        """Return the hosts in the last state known to the platform.
+
+        Raises StoreUnavailable.
+        """
 
 
 class HttpHostList(HostList):
-    """The host list over HTTP."""
+    """Reads the host list over HTTP."""
 
     def __init__(self, link: PlatformLink) -> None:
         """Send every call through ``link``."""
@@ -55,7 +58,10 @@
         self._known: list[Host] = []
 
     def hosts(self) -> list[Host]:
-        """Return the hosts; the list is sent again only when changed."""
+        """Return the hosts; download the list only if its ETag has changed.
+
+        Raises StoreUnavailable.
+        """
         headers = {'If-None-Match': self._tag} if self._tag else None
         answer = self.link.ask('GET', '/hosts', b'', Priority.lease, headers)
         if answer.status == HTTPStatus.NOT_MODIFIED:
@@ -70,7 +76,7 @@
 
 
 def _readable(entries: Iterable[Any]) -> Iterator[Host]:
-    """Yield the hosts that can be read; one that cannot hides no other."""
+    """Yield the hosts that can be parsed; log and skip each other entry."""
     for entry in entries:
         try:
             yield _host(entry)
--- a/cactusridge/store/http_table.py
+++ b/cactusridge/store/http_table.py
@@ -1,4 +1,4 @@
-"""The table service over its HTTP protocol."""
+"""Client of the platform's table service over HTTP."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -32,7 +32,7 @@
 
 
 class HttpTable(Table):
-    """A table reached over HTTP."""
+    """A table that is read and written over HTTP."""
 
     def __init__(self, link: PlatformLink) -> None:
         """Send every call through ``link``."""
@@ -45,7 +45,11 @@
         writes: Sequence[Write],
         priority: Priority,
     ) -> int:
-        """Apply all writes if all conditions hold; return the version."""
+        """Apply all writes if all conditions hold; return the version.
+
+        Raises ConditionFailed, StoreUnavailable (nothing was applied) or
+        WriteUnknown (the writes may have been applied).
+        """
         message = {
             'conditions': list(map(list, conditions)),
             'writes': list(map(list, writes)),
@@ -64,7 +68,8 @@
     def read(self, keys: Sequence[str], priority: Priority) -> list[Row]:
         """Return the rows at ``keys``, in that order."""
         found = by_key(self._rows('/table/read', {'keys': keys}, priority))
-        # What the answer does not name is not absent for that.
+        # A key that the reply does not name is marked unreadable: the reply
+        # does not say that the row is absent.
         return [
             found.get(key, Row(key, None, ABSENT, unreadable=True))
             for key in keys
@@ -86,9 +91,10 @@
             found = parse_reply(RowsReply, answer.body).rows
             raise ConditionFailed(list(rows_in(found)))
         if answer.status != HTTPStatus.OK:
-            # Refused as a whole; nothing of it was applied.
+            # The service rejects a transaction as a whole: no write of it
+            # was applied.
             raise StoreUnavailable(
-                f'the table answered {answer.status}',
+                f'the table service returned status {answer.status}',
                 retry_after_s=RETRY_S,
             )
         return parse_reply(VersionReply, answer.body).version
@@ -108,5 +114,7 @@
         rows = list(rows_in(found))
         if len(rows) != len(found):
             lost = len(found) - len(rows)
-            self._reports.note(path, lost, f'{lost} entries name no key')
+            self._reports.note(
+                path, lost, f'{lost} entries of the reply have no key'
+            )
         return rows
--- a/cactusridge/store/link.py
+++ b/cactusridge/store/link.py
@@ -1,4 +1,4 @@
-"""The way to the platform: budget, breaker, and what an error means."""
+"""Calls to the platform: rate limit, circuit breaker and typed errors."""
 
 import random
 from typing import Any, NamedTuple
@@ -24,7 +24,7 @@
 
 
 class PlatformAnswer(NamedTuple):
-    """An answer of the platform: HTTP status and body."""
+    """A reply of the platform: HTTP status, body and ETag."""
 
     status: int
     body: bytes
@@ -32,7 +32,7 @@
 
 
 class PlatformLink:
-    """Sends calls to one platform service over HTTP."""
+    """Sends HTTP calls to one service of the platform."""
 
     def __init__(
         self,
@@ -44,9 +44,11 @@
         max_pause_s: float = MAX_PAUSE_S,
         contact: StoreContact | None = None,
     ) -> None:
-        """Bound each call by ``timeout`` and ``calls_per_s`` on average.
+        """Limit each call by ``timeout``, and all to ``calls_per_s``.
 
-        ``contact`` is told of each answer; links to one store share it.
+        ``max_pause_s`` limits the backoff of the circuit breaker, in
+        seconds. ``contact`` records each reply; links to the same store
+        share one.
         """
         self.address = address
         self._timeout = timeout
@@ -64,7 +66,11 @@
         priority: Priority,
         headers: dict[str, str] | None = None,
     ) -> PlatformAnswer:
-        """Send one call; StoreUnavailable: not applied, else unknown."""
+        """Send one call and return its reply.
+
+        Raises StoreUnavailable if the call was not applied, WriteUnknown
+        if it may have been.
+        """
         self._admit(priority)
         try:
             answer = self._exchange(method, path, body, headers)
@@ -89,10 +95,10 @@
         priority: Priority,
         headers: dict[str, str] | None = None,
     ) -> PlatformAnswer:
-        """Send a call that changes nothing; again if its answer is lost.
+        """Send an idempotent call; retry it once if no reply is received.
 
-        The second goes out on a new connection, since the open ones may
-        be what went silent. Raises StoreUnavailable.
+        The retry uses a new connection, because an open one may have been
+        the reason that no reply was received. Raises StoreUnavailable.
         """
         for _ in range(READ_TRIES):
             try:
@@ -102,6 +108,7 @@
         raise StoreUnavailable(str(lost), retry_after_s=1) from lost
 
     def _admit(self, priority: Priority) -> None:
+        """Wait for the rate limit; raise StoreUnavailable if it is too long."""
         wait_s = self.breaker.wait_s()
         if wait_s:
             raise StoreUnavailable(retry_after_s=wait_s + 1)
@@ -139,10 +146,12 @@
             if exc is not limit:
                 raise
             self._timeout.silent()
-            raise WriteUnknown('no answer in time') from exc
+            raise WriteUnknown(
+                'the store sent no reply before the timeout'
+            ) from exc
 
     def _failed(self) -> None:
         metrics.STORE_CALLS.inc({'outcome': 'failed'})
-        # Idle connections may be the ones that went silent.
+        # The idle connections to the address may be broken as well.
         self._clients.drop(self.address)
         self.breaker.failed()
--- a/cactusridge/store/listeners.py
+++ b/cactusridge/store/listeners.py
@@ -1,4 +1,4 @@
-"""Several listeners of one table."""
+"""Dispatches the rows of one table to several listeners."""
 
 from collections.abc import Mapping
 
@@ -7,24 +7,25 @@
 
 
 class ListenersByPrefix(TableListener):
-    """Passes each row on to the listener whose prefix its key has.
+    """Passes each row to the listener that is registered for its prefix.
 
-    A table is watched by one call at a time, whoever wants to hear of it.
+    A process watches each table by a single call at a time, whatever the
+    number of its listeners.
     """
 
     def __init__(self, by_prefix: Mapping[str, TableListener]) -> None:
-        """Pass on ``by_prefix``; the first that fits has a row."""
+        """Dispatch ``by_prefix``; the first matching prefix gets a row."""
         self._by_prefix = by_prefix
 
     def put(self, row: Row) -> None:
-        """Pass a row on; one that is nobody's is passed over."""
+        """Pass a row to its listener; ignore a row without a listener."""
         for prefix, listener in self._by_prefix.items():
             if row.key.startswith(prefix):
                 listener.put(row)
                 return
 
     def keep_only(self, keys: set[str]) -> None:
-        """Tell each listener which of its rows there are."""
+        """Pass to each listener those of ``keys`` that have its prefix."""
         left = set(keys)
         for prefix, listener in self._by_prefix.items():
             own = {key for key in left if key.startswith(prefix)}
@@ -32,6 +33,6 @@
             listener.keep_only(own)
 
     def regained(self, since: float) -> None:
-        """Tell each listener that the store answers again."""
+        """Notify each listener of the end of an outage of the store."""
         for listener in self._by_prefix.values():
             listener.regained(since)
--- a/cactusridge/store/object_store.py
+++ b/cactusridge/store/object_store.py
@@ -8,12 +8,12 @@
 from cactusridge.store.table import Priority, WriteUnknown
 
 PUT_TRIES = 4
-# An object, or the part of it that was asked for.
+# The statuses of a reply that has the object or the requested range of it.
 FOUND = frozenset((HTTPStatus.OK, HTTPStatus.PARTIAL_CONTENT))
 
 
 class ObjectStore(abc.ABC):
-    """Objects by name; each is written once and never changed."""
+    """Immutable objects by name; each name is written with one body only."""
 
     @abc.abstractmethod
     def put(self, name: str, body: bytes, priority: Priority) -> None:
@@ -27,7 +27,10 @@
         end: int | None = None,
         priority: Priority = Priority.commit,
     ) -> bytes:
-        """Return bytes ``start`` to ``end`` (exclusive) of an object."""
+        """Return bytes ``start`` to ``end`` (exclusive) of an object.
+
+        Raises NotFound or StoreUnavailable.
+        """
 
     @abc.abstractmethod
     def drop(self, name: str, priority: Priority) -> None:
@@ -35,11 +38,14 @@
 
     @abc.abstractmethod
     def names(self, prefix: str, after: str = '') -> list[str]:
-        """Return a page of sorted names below ``prefix``."""
+        """Return the next page of sorted names that start with ``prefix``.
+
+        The page starts past the name ``after``. Raises StoreUnavailable.
+        """
 
 
 class HttpObjectStore(ObjectStore):
-    """An object store reached over HTTP."""
+    """An object store that is read and written over HTTP."""
 
     def __init__(self, link: PlatformLink) -> None:
         """Send every call through ``link``."""
@@ -51,8 +57,8 @@
             try:
                 self.link.call('PUT', f'/objects/{name}', body, priority)
             except WriteUnknown:
-                # The name is unique to this body: sending it again
-                # cannot overwrite anything else.
+                # No other body is ever stored under this name, so a retry
+                # cannot overwrite another object.
                 continue
             return
         raise StoreUnavailable(retry_after_s=1)
@@ -73,10 +79,10 @@
             return b''
         answer = self._ask(f'/objects/{name}', headers, priority)
         if answer is None:
-            raise NotFound(f'no object {name}')
+            raise NotFound(f'the object {name} does not exist')
         if end is not None and len(answer) != end - start:
             raise StoreUnavailable(
-                f'{len(answer)} bytes of {end - start} came',
+                f'received {len(answer)} of {end - start} bytes',
                 retry_after_s=1,
             )
         return answer
@@ -86,7 +92,7 @@
         self.link.ask('DELETE', f'/objects/{name}', b'', priority)
 
     def names(self, prefix: str, after: str = '') -> list[str]:
-        """Return a page of sorted names below ``prefix``."""
+        """Return the next page of sorted names that start with ``prefix``."""
         path = f'/object-names?prefix={prefix}&after={after}'
         raw = self._ask(path, {}, Priority.report) or b''
         try:
@@ -100,12 +106,13 @@
         headers: dict[str, str],
         priority: Priority,
     ) -> bytes | None:
+        """Return the body at ``path``, or None if nothing is stored there."""
         answer = self.link.ask('GET', path, b'', priority, headers)
         if answer.status == NOT_FOUND:
             return None
         if answer.status not in FOUND:
             raise StoreUnavailable(
-                f'the object store answered {answer.status}',
+                f'the object store returned status {answer.status}',
                 retry_after_s=1,
             )
         return answer.body
--- a/cactusridge/store/replies.py
+++ b/cactusridge/store/replies.py
@@ -1,4 +1,4 @@
-"""The platform's answers, checked before anything is made of them."""
+"""Models of the platform's replies, which validate them."""
 
 from collections.abc import Iterator
 from typing import Any, TypeVar
@@ -11,29 +11,30 @@
 
 
 class UnreadableReply(CactusridgeError):
-    """The platform answered, but not with what its protocol says."""
+    """The platform sent a reply that does not follow its protocol."""
 
     status = 503
     code = 'unreadable_reply'
 
 
 class RowsReply(BaseModel):
-    """Rows that were read, or that differ from what was expected.
+    """Rows that were read, or whose versions failed a condition.
 
-    Each entry is read by itself.
+    ``rows_in`` parses each entry on its own, so that an invalid entry does
+    not invalidate the others.
     """
 
     rows: list[Any]
 
 
 class VersionReply(BaseModel):
-    """The version that a transaction has made."""
+    """The table's version after a transaction."""
 
     version: int
 
 
 class HostsReply(BaseModel):
-    """The host list; each entry is read by itself."""
+    """The host list, whose entries are parsed one by one."""
 
     hosts: list[Any]
 
@@ -42,7 +43,7 @@
 
 
 def parse_reply(model: type[ReplyT], raw: bytes) -> ReplyT:
-    """Return ``raw`` as a ``model``; raise UnreadableReply."""
+    """Return the JSON ``raw`` as a ``model``; raise UnreadableReply."""
     try:
         return model.model_validate_json(raw)
     except ValidationError as exc:
@@ -50,10 +51,10 @@
 
 
 def rows_in(entries: list[Any]) -> Iterator[Row]:
-    """Yield the rows of an answer; what names no key is left out.
+    """Yield the rows of a reply; skip entries without a key.
 
-    A row whose value is no object or whose version is no whole number is
-    unreadable.
+    An entry is a list of key, value and version. A row is marked unreadable
+    if its value is not an object or its version not a non-negative integer.
     """
     for entry in entries:
         if not isinstance(entry, list) or not entry:
--- a/cactusridge/store/reply_timeout.py
+++ b/cactusridge/store/reply_timeout.py
@@ -1,40 +1,42 @@
-"""How long to wait for the store's next answer.
+"""An adaptive timeout for replies of the store.
 
-Answers writes that take effect and lose their answers: a store that
-answers in milliseconds is asked again in a quarter of a second instead of
-a second, so that a job is still accepted within the wait that its caller
-counts as on time. A store that has become slow is given more time.
+It limits the delay when a write takes effect but its reply is lost. If the
+store usually replies within milliseconds, the write is retried after a
+quarter of a second instead of a second, so that a job is still accepted
+within the time that its caller counts as on time. If the store becomes
+slower, the timeout grows.
 """
 
-# The wait is this many times the slowest answer of late: enough for a
-# queue before the store, and for a lost packet on the way.
-FACTOR = 8
-# A silence doubles the next wait, so that a slow store is soon met.
+# The timeout as a multiple of the slowest recent reply: it allows for a
+# queue in front of the store and for a lost packet.
+SLOWEST_MULTIPLE = 8
+# A missing reply doubles the next timeout, so that after a few calls it is
+# long enough for a store that has become slow.
 GROWTH = 2
-# Weight of the slowest answer so far against a new one: a silence is
-# forgotten within some ten answers.
+# Factor by which the slowest recent reply time decays with each reply: the
+# effect of a missing reply is gone after about ten replies.
 DECAY = 0.9
 
 
 class ReplyTimeout:
-    """Follows how fast the store answers; all times in seconds."""
+    """Adapts the timeout to the store's reply times; all in seconds."""
 
     def __init__(self, least_s: float, most_s: float) -> None:
-        """Wait ``least_s`` at first and never over ``most_s``."""
+        """Start at ``least_s``, and never exceed ``most_s``."""
         self._least_s = min(least_s, most_s)
         self.most_s = most_s
         self._slowest_s = float(0)
 
     @property
     def seconds(self) -> float:
-        """How long to wait for the next answer."""
-        wait_s = FACTOR * self._slowest_s
+        """The timeout of the next call, in seconds."""
+        wait_s = SLOWEST_MULTIPLE * self._slowest_s
         return min(self.most_s, max(self._least_s, wait_s))
 
     def answered(self, took_s: float) -> None:
-        """Note an answer and how long it took."""
+        """Record a reply that was received after ``took_s`` seconds."""
         self._slowest_s = max(took_s, DECAY * self._slowest_s)
 
     def silent(self) -> None:
-        """Note that no answer came in time."""
-        self._slowest_s = GROWTH * self.seconds / FACTOR
+        """Record that no reply was received within the timeout."""
+        self._slowest_s = GROWTH * self.seconds / SLOWEST_MULTIPLE
--- a/cactusridge/store/row_reader.py
+++ b/cactusridge/store/row_reader.py
@@ -1,4 +1,4 @@
-"""Makes typed values of rows; one that cannot be read costs itself alone."""
+"""Parses rows into typed values; an invalid row does not affect others."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NoReturn, TypeVar
@@ -11,13 +11,13 @@
 
 
 class RowReader:
-    """Reads rows with a parser that raises UnreadableField.
+    """Parses rows with functions that raise UnreadableField.
 
-    Each row that cannot be read is logged, once a version.
+    Each version of a row that cannot be parsed is logged once.
     """
 
     def __init__(self) -> None:
-        """Start without anything logged."""
+        """Start with no logged rows."""
         self._reports = RowReports()
 
     def read(
@@ -25,12 +25,12 @@
         row: Row,
         parse: Callable[[Row], ParsedT],
     ) -> ParsedT | None:
-        """Return the row's content, None only if the row is absent.
+        """Return the parsed row, or None if the row is absent.
 
-        Raises UnreadableRecord.
+        Raises UnreadableRecord if the row cannot be parsed.
         """
         if row.unreadable:
-            self.refuse(row, 'its bytes are no JSON object')
+            self.refuse(row, 'its value is not a JSON object')
         if row.value is None:
             return None
         try:
@@ -39,7 +39,7 @@
             self.refuse(row, str(exc))
 
     def there(self, row: Row) -> bool:
-        """Tell whether a row is there; raise UnreadableRecord."""
+        """Return whether a row exists; raise UnreadableRecord."""
         return self.read(row, _value) is not None
 
     def readable(
@@ -47,9 +47,9 @@
         rows: Iterable[Row],
         parse: Callable[[Row], ParsedT],
     ) -> Iterator[ParsedT]:
-        """Yield the contents of the rows that are there and readable.
+        """Yield the parsed rows; skip absent and unreadable ones.
 
-        For rows on which no promise rests: the others are left out.
+        This is only for rows whose loss breaks no guarantee of the system.
         """
         for row in rows:
             try:
@@ -60,11 +60,11 @@
                 yield found
 
     def report(self, row: Row, error: str) -> None:
-        """Log a row that is left out."""
+        """Log that a row cannot be parsed."""
         self._reports.note(row.key, row.version, error)
 
     def refuse(self, row: Row, error: str) -> NoReturn:
-        """Log a row and raise UnreadableRecord."""
+        """Log that a row cannot be parsed and raise UnreadableRecord."""
         self.report(row, error)
         raise UnreadableRecord(f'{row.key} cannot be read: {error}')
 
--- a/cactusridge/store/store_clock.py
+++ b/cactusridge/store/store_clock.py
@@ -1,26 +1,26 @@
-"""The store's steady clock, as this process reckons it."""
+"""This process's estimate of the store's monotonic clock."""
 
 from cactusridge.clock import Clock
 
-MS = 1000
+MS_PER_S = 1000
 
 
 class StoreClock:
-    """Tells the store's time from its answers and the time since.
+    """Computes the store's time from its last reply and the time since.
 
-    All entries reckon from one clock, so that the age of a job does not
-    depend on the time of day of the host that looks at it.
+    All entries use this one clock, so that the computed age of a job does
+    not depend on the wall clock of an entry's host.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Go on from the last answer by ``clock``."""
+        """Measure the time since the last reply by ``clock``."""
         self._clock = clock
         self._offset_ms = float(0)
 
     def note(self, now_ms: float) -> None:
-        """Take the time in an answer that has just come."""
-        self._offset_ms = now_ms - self._clock.monotonic() * MS
+        """Record the store's time ``now_ms`` of a reply just received."""
+        self._offset_ms = now_ms - self._clock.monotonic() * MS_PER_S
 
     def now_ms(self) -> int:
         """Return the store's time in milliseconds."""
-        return int(self._clock.monotonic() * MS + self._offset_ms)
+        return int(self._clock.monotonic() * MS_PER_S + self._offset_ms)
--- a/cactusridge/store/table.py
+++ b/cactusridge/store/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service as the system sees it."""
+"""The interface of the platform's table service."""
 
 import abc
 import enum
@@ -7,12 +7,14 @@
 
 from cactusridge.errors import CactusridgeError
 
+# The version of a row that does not exist.
 ABSENT = 0
+# The most rows that a scan returns by default.
 PAGE = 500
 
 
 class Priority(enum.IntEnum):
-    """Who goes first when the store's budget is short; lowest first."""
+    """The priority of a call under the rate limit; the lowest goes first."""
 
     lease = 0
     commit = 1
@@ -22,10 +24,10 @@
 
 
 class Row(NamedTuple):
-    """A row: its key, its value (None: absent) and its version.
+    """A row of a table; its value is None if the row is absent.
 
-    An ``unreadable`` row is there, but its bytes cannot be decoded; it
-    has no value either, so whoever takes None for absent asks first.
+    An ``unreadable`` row exists, but its bytes cannot be decoded. Its value
+    is None as well, so use ``absent`` to check whether a row exists.
     """
 
     key: str
@@ -35,19 +37,19 @@
 
     @property
     def absent(self) -> bool:
-        """Whether there is no such row."""
+        """Whether the row does not exist."""
         return self.value is None and not self.unreadable
 
 
 class Condition(NamedTuple):
-    """The row at ``key`` must have ``version``; 0 means absent."""
+    """Requires ``version`` of the row at ``key``; 0: no such row."""
 
     key: str
     version: int
 
 
 class Write(NamedTuple):
-    """Put ``value`` at ``key``; None deletes the row."""
+    """Stores ``value`` at ``key``; None deletes the row."""
 
     key: str
     value: dict[str, Any] | None
@@ -61,20 +63,22 @@
     not_run = True
 
     def __init__(self, rows: Sequence[Row]) -> None:
-        """Keep the rows whose versions differ."""
-        super().__init__(f'differs: {[row.key for row in rows]}')
+        """Keep the rows whose versions differ from the conditions."""
+        super().__init__(
+            f'rows with another version: {[row.key for row in rows]}'
+        )
         self.rows = {row.key: row for row in rows}
 
 
 class WriteUnknown(CactusridgeError):
-    """The store may have applied the transaction; read to find out."""
+    """The store may have applied the transaction; read the rows to check."""
 
     status = 503
     code = 'write_unknown'
 
 
 class Table(abc.ABC):
-    """Rows with growing versions and conditional transactions."""
+    """Rows with increasing versions, written by conditional transactions."""
 
     @abc.abstractmethod
     def transact(
@@ -85,8 +89,8 @@
     ) -> int:
         """Apply all writes if all conditions hold; return the version.
 
-        Raises ConditionFailed, StoreUnavailable (nothing applied) or
-        WriteUnknown (it may have been applied).
+        Raises ConditionFailed, StoreUnavailable (nothing was applied) or
+        WriteUnknown (the writes may have been applied).
         """
 
     @abc.abstractmethod
@@ -101,7 +105,10 @@
         after: str = '',
         limit: int = PAGE,
     ) -> list[Row]:
-        """Return up to ``limit`` rows below ``prefix``, sorted by key."""
+        """Return up to ``limit`` rows whose keys start with ``prefix``.
+
+        The rows are sorted by key and start past the key ``after``.
+        """
 
 
 def scan_all(
@@ -110,7 +117,10 @@
     priority: Priority,
     after: str = '',
 ) -> Iterable[Row]:
-    """Yield the rows below ``prefix`` past ``after``, a page at a time."""
+    """Yield the rows whose keys start with ``prefix``, past ``after``.
+
+    One page of PAGE rows is read at a time.
+    """
     while True:
         rows = table.scan(prefix, priority, after)
         yield from rows
--- a/cactusridge/store/table_follower.py
+++ b/cactusridge/store/table_follower.py
@@ -1,4 +1,4 @@
-"""Keeps an eye on one table: everything once, then what changes."""
+"""Follows one table: reads all of its rows, then its changes."""
 
 import abc
 import random
@@ -15,51 +15,53 @@
 from cactusridge.store.unreadable import UnreadableRecord
 from cactusridge.store.watch import HistoryLost, Watch
 
-# A watch is answered at least this often, which tells a lost connection
-# from a table in which nothing changes.
+# Seconds within which the store answers a watch, even if nothing has
+# changed; a lost connection is recognised by a longer silence.
 WAIT_S = 1.5
-# A watch may miss changes that the store made while it heard nothing;
-# everything is read again this often, at some rows a second.
+# Seconds between two complete reads of the table: a watch may miss changes
+# that were made while its connection was broken.
 REREAD_S = 8
-# The shortest wait of a watch, in seconds, before all is read again.
-LEAST_WAIT_S = 0.1
-# Pause after a failure, in seconds; half of it is random so that entries
-# do not return to the store in step.
+# The shortest wait of a watch before the next complete read, in seconds.
+MIN_WAIT_S = 0.1
+# Backoff after a failure, in seconds. Up to half of it is random, so that
+# entries do not all retry at the same time.
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 0.8
 
 
 class TableListener(abc.ABC):
-    """Who is told of a table's rows."""
+    """Receives the rows of a followed table."""
 
     @abc.abstractmethod
     def put(self, row: Row) -> None:
-        """Take a row; without a value it was removed or is unreadable.
+        """Process a row that exists or has changed.
 
-        Raises UnreadableRecord; the other rows are taken all the same.
+        A row without a value was deleted or is unreadable. Raises
+        UnreadableRecord, which does not keep other rows from being processed.
         """
 
     @abc.abstractmethod
     def keep_only(self, keys: set[str]) -> None:
-        """Forget every row whose key is not among ``keys``."""
+        """Remove every row whose key is not among ``keys``."""
 
     def confirmed(self, begun_at: float, whole: bool) -> None:
-        """Note that everything that was told of the table is taken in.
+        """Handle the end of a read; all of its rows have been processed.
 
-        ``begun_at`` is when the reading of it was begun, on the process's
-        clock; ``whole`` tells a reading of all rows from a watch that has
-        been answered, maybe without news.
+        ``begun_at`` is when the read began, in seconds of the follower's
+        clock. ``whole`` is True for a read of all rows, and False for an
+        answered watch, which may have had no changes.
         """
 
     def regained(self, since: float) -> None:
-        """Note that the store answers again after an outage.
+        """Handle the end of an outage of the store.
 
-        ``since`` is when its first answer came, on the process's clock.
+        ``since`` is when the store's first answer was received, in seconds
+        of the contact's clock.
         """
 
 
 class TableFollower:
-    """Follows one table for as long as the process runs."""
+    """Passes the rows of one table and their changes to a listener."""
 
     def __init__(
         self,
@@ -71,7 +73,10 @@
         contact: StoreContact,
         reread_s: float = REREAD_S,
     ) -> None:
-        """Tell ``listener`` of the rows of ``table`` below ``prefixes``."""
+        """Follow the rows of ``table`` whose keys start with ``prefixes``.
+
+        All rows are read again every ``reread_s`` seconds.
+        """
         self._reread_s = reread_s
         self.heard_at: float | None = None
         self._watch = watch
@@ -80,8 +85,8 @@
         self._listener = listener
         self._clock = clock
         self._contact = contact
-        # The outages whose end the listener was told of.
-        self._outages = contact.outages
+        # The number of ended outages that the listener was notified of.
+        self._notified_outages = contact.outages
         self._rng = random.Random()  # noqa: S311
         self._version: int | None = None
         self._read_at = float(0)
@@ -90,13 +95,13 @@
         self._failures = RowReports(events.LISTENER_FAILED)
 
     def silent_s(self) -> float:
-        """Return the seconds for which the store has told nothing."""
+        """Return the seconds since the last read succeeded."""
         if self.heard_at is None:
             return float('inf')
         return self._clock.monotonic() - self.heard_at
 
     def step(self) -> None:
-        """Read once; pause after a failure."""
+        """Read the table or its changes once; back off after a failure."""
         try:
             self._read()
         except HistoryLost:
@@ -104,7 +109,7 @@
             self._version = None
         except StoreUnavailable as exc:
             logs.emit(events.WATCH_FAILED, table=self._table, error=str(exc))
-            self._rest()
+            self._back_off()
         else:
             self.heard_at = self._clock.monotonic()
             self._pause_s = FIRST_PAUSE_S
@@ -117,55 +122,56 @@
             self._read_at = now
             whole = True
         else:
-            wait_s = min(WAIT_S, max(LEAST_WAIT_S, left_s))
+            wait_s = min(WAIT_S, max(MIN_WAIT_S, left_s))
             found = self._watch.changes(self._table, self._version, wait_s)
             whole = False
-        self._tell_of_outage()
+        self._notify_regained()
         if whole:
             keys = {row.key for row in found.rows}
-            self._tell(
+            self._notify(
                 self._table,
                 found.version,
                 lambda: self._listener.keep_only(keys),
             )
         for row in found.rows:
-            self._put(row)
+            self._notify_put(row)
         self._version = found.version
-        self._tell(
+        self._notify(
             self._table,
             found.version,
             lambda: self._listener.confirmed(now, whole),
         )
 
-    def _tell_of_outage(self) -> None:
-        """Tell the listener, before its rows, that an outage has ended."""
-        if self._contact.outages == self._outages:
+    def _notify_regained(self) -> None:
+        """Notify the listener of the end of an outage, before it gets rows."""
+        if self._contact.outages == self._notified_outages:
             return
-        self._outages = self._contact.outages
+        self._notified_outages = self._contact.outages
         since = self._contact.since
-        self._tell(
+        self._notify(
             self._table,
             ABSENT,
             lambda: self._listener.regained(since),
         )
 
-    def _put(self, row: Row) -> None:
-        """Have the listener take a row."""
-        self._tell(row.key, row.version, lambda: self._listener.put(row))
+    def _notify_put(self, row: Row) -> None:
+        """Pass a row to the listener."""
+        self._notify(row.key, row.version, lambda: self._listener.put(row))
 
-    def _tell(self, key: str, version: int, say: Callable[[], None]) -> None:
-        """Tell the listener; what it cannot take costs that alone.
+    def _notify(self, key: str, version: int, call: Callable[[], None]) -> None:
+        """Call the listener; log an error of it instead of raising.
 
-        Guards against a table that is read again and again from its
-        beginning and never past the row at which the listener fails.
+        Otherwise the follower would read the table again and again from
+        its beginning, and never get past the row at which the listener
+        fails.
         """
         try:
-            say()
+            call()
         except UnreadableRecord as exc:
             self._unreadable.note(key, version, str(exc))
         except Exception as fault:
             self._failures.note(key, version, repr(fault))
 
-    def _rest(self) -> None:
+    def _back_off(self) -> None:
         gevent.sleep(self._pause_s * self._rng.uniform(0.5, 1))
         self._pause_s = min(MAX_PAUSE_S, self._pause_s * 2)
--- a/cactusridge/store/unreadable.py
+++ b/cactusridge/store/unreadable.py
@@ -1,13 +1,13 @@
-"""Stored data that is there and cannot be read."""
+"""Errors of stored data that exists but cannot be parsed."""
 
 from cactusridge.errors import CactusridgeError, Refused
 
 
 class UnreadableRecord(Refused):
-    """A row or object cannot be read; it is not absent.
+    """A stored row or object exists but cannot be read.
 
-    Nothing was done and nothing may replace it. Whoever repairs it
-    makes the call succeed again.
+    Nothing was done, and the stored data is not replaced. The request can
+    succeed once the data is repaired.
     """
 
     code = 'unreadable_record'
--- a/cactusridge/store/watch.py
+++ b/cactusridge/store/watch.py
@@ -1,4 +1,4 @@
-"""Following the changes of a table."""
+"""The interface by which the changes of a table are followed."""
 
 import abc
 from typing import NamedTuple
@@ -8,16 +8,16 @@
 
 
 class HistoryLost(CactusridgeError):
-    """The store no longer has the changes asked for; read all again."""
+    """The store no longer keeps these changes; read the whole table."""
 
     status = 410
     code = 'history_lost'
 
 
 class Snapshot(NamedTuple):
-    """Rows of one moment, or changes up to it, and its version.
+    """All rows at one version of a table, or the changes up to it.
 
-    A row that was removed has no value.
+    The value of a deleted row is None.
     """
 
     rows: list[Row]
@@ -25,11 +25,11 @@
 
 
 class Watch(abc.ABC):
-    """Reads tables whole and then by their changes."""
+    """Reads the rows of a table, and the changes that follow."""
 
     @abc.abstractmethod
     def snapshot(self, prefixes: list[str]) -> Snapshot:
-        """Return all rows below each of ``prefixes``.
+        """Return all rows whose keys start with one of ``prefixes``.
 
         The version is not newer than any of the rows read. Raises
         StoreUnavailable.
@@ -39,6 +39,6 @@
     def changes(self, table: str, after: int, wait_s: float) -> Snapshot:
         """Return the rows of ``table`` that changed since ``after``.
 
-        Waits up to ``wait_s`` for one. Raises StoreUnavailable or
+        Waits up to ``wait_s`` seconds for a change. Raises StoreUnavailable or
         HistoryLost.
         """
--- a/cactusridge/store/writer.py
+++ b/cactusridge/store/writer.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose answer may be lost."""
+"""Retries conditional writes whose replies may be lost."""
 
 from collections.abc import Sequence
 
@@ -26,13 +26,13 @@
     writes: Sequence[Write],
     priority: Priority = Priority.acceptance,
 ) -> int:
-    """Insert rows that are conditional on absence; return their version.
+    """Insert rows on condition that they are absent; return their version.
 
-    The same transaction is sent again after a lost answer: the first to
-    take effect makes the condition fail for the other, so it cannot
-    take effect twice. ABSENT: the rows were there; the caller reads them
-    to see whose they are. StoreUnavailable: nothing was written.
-    OutcomeUnknown: it could not be found out.
+    If a reply is lost, the same transaction is sent again. It cannot take
+    effect twice: once it has taken effect, its condition fails. Returns
+    ABSENT if the rows exist already; the caller then reads them to find out
+    whether it wrote them. Raises StoreUnavailable if nothing was written,
+    OutcomeUnknown if the outcome could not be determined.
     """
     pause_s = FIRST_PAUSE_S
     sent = False
@@ -48,13 +48,13 @@
         gevent.sleep(pause_s)
         pause_s *= GROWTH
     raise OutcomeUnknown(
-        'the store did not say whether it was accepted; send it again'
-        ' with the same key, it will not be run twice',
+        'the store did not confirm the request; send it again with the'
+        ' same key, and it will not be run twice',
         retry_after_s=pause_s,
     )
 
 
 def _raise_unless(sent: bool, exc: StoreUnavailable) -> None:
-    """Pass the outage on only if nothing was sent before it."""
+    """Raise ``exc`` unless an earlier attempt may have taken effect."""
     if not sent:
         raise exc
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the table service that cannot be read."""
+"""Invalid replies of the table service."""
 
 import unittest
 
@@ -20,10 +20,10 @@
 
 
 class TestSpoiltAnswers(unittest.TestCase):
-    """Rows over the product's own protocol."""
+    """Invalid rows in replies of this project's own table protocol."""
 
     def setUp(self):
-        """Prepare no answer."""
+        """Create a table over a link with scripted replies."""
         self.link = ScriptedLink()
         self.table = HttpTable(self.link)
 
@@ -39,7 +39,7 @@
         (['b'], 0),
     )
     def test_row(self, entry, version):
-        """One costs itself alone."""
+        """An invalid row is unreadable, and the others are returned."""
         self.link.say({'rows': [['a', {'x': 1}, 1], entry, ['c', None, 0]]})
         wanted = [
             Row('a', {'x': 1}, 1),
@@ -55,7 +55,7 @@
 
     @params(5, None, [], [5, {}, 1], {}, 'b')
     def test_unnamed(self, entry):
-        """What names no key is not absent where it was asked for."""
+        """A row is unreadable, not absent, if the reply lacks its key."""
         self.link.say({'rows': [['a', {'x': 1}, 1], entry]})
         wanted = [
             Row('a', {'x': 1}, 1),
@@ -68,7 +68,7 @@
 
     @params({}, {'rows': 5}, [], None)
     def test_answer(self, message):
-        """An answer without rows tells nothing."""
+        """A reply without rows raises StoreUnavailable."""
         self.link.say(message)
         with self.assertRaises(StoreUnavailable):
             self.table.scan('', REPORT)
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -1,33 +1,33 @@
-"""Which silences are outages of the store, and who can vouch for it."""
+"""Tests of detecting outages of the store and of its contact time."""
 
 import unittest
 
 from nose2.tools import params
 
 from cactusridge.clock import ManualClock
-from cactusridge.store.contact import AWAY_S, StoreContact
+from cactusridge.store.contact import OUTAGE_S, StoreContact
 from cactusridge.store.table_follower import TableFollower
 from tests.scripted_watch import Rows, ScriptedWatch
 
 
 class Returns(Rows):
-    """Keeps when the store came back from its outages."""
+    """Keeps the times at which outages of the store ended."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no outages."""
         super().__init__()
         self.returns: list[float] = []
 
     def regained(self, since):
-        """Keep one."""
+        """Keep the end of an outage."""
         self.returns.append(since)
 
 
 class TestOutages(unittest.TestCase):
-    """Which silences the listener is told of as outages of the store."""
+    """The listener is notified of outages, but not of other silences."""
 
     def setUp(self):
-        """Follow a scripted watch, besides other calls to the store."""
+        """Follow a scripted watch and record other answers of the store."""
         self.clock = ManualClock()
         self.contact = StoreContact(self.clock)
         self.watch = ScriptedWatch()
@@ -42,14 +42,14 @@
         )
 
     def read(self, after_s):
-        """Let time pass, and the watch be answered."""
+        """Advance the clock by ``after_s`` and answer the watch."""
         self.clock.advance(after_s)
         self.contact.answered()
         self.follower.step()
 
-    @params((AWAY_S, []), (AWAY_S + 1, [AWAY_S + 1]))
+    @params((OUTAGE_S, []), (OUTAGE_S + 1, [OUTAGE_S + 1]))
     def test_start(self, after_s, returns):
-        """A first reading ends an outage only if the store was away."""
+        """A first read ends an outage only if it took over OUTAGE_S."""
         began_at = self.clock.monotonic()
         self.read(after_s)
         self.assertEqual(
@@ -67,7 +67,7 @@
         self.assertEqual([], self.listener.returns)
 
     def test_silence_of_all(self):
-        """It is one, and counts from the first answer, once."""
+        """Without any answer there is one outage, ended by the next one."""
         self.read(0)
         self.clock.advance(8)
         self.contact.answered()
@@ -78,28 +78,28 @@
 
 
 class TestStoreContact(unittest.TestCase):
-    """For how long an entry can vouch for the store."""
+    """The time for which the store has answered without an outage."""
 
     def setUp(self):
-        """Start."""
+        """Create a contact without answers."""
         self.clock = ManualClock()
         self.contact = StoreContact(self.clock)
 
     def test_before_the_first_answer(self):
-        """The start of the process is no answer."""
+        """The time starts with the first answer, not with the process."""
         self.clock.advance(1)
         self.assertEqual(0, self.contact.lasts_s())
         self.contact.answered()
         self.assertEqual(0, self.contact.lasts_s())
 
     def test_in_an_outage_and_after_it(self):
-        """It vouches for nothing, then for the time since."""
+        """The time is 0 during an outage and restarts at its end."""
         self.contact.answered()
         for _ in range(3):
             self.clock.advance(1)
             self.contact.answered()
         self.assertEqual(3, self.contact.lasts_s())
-        self.clock.advance(AWAY_S + 1)
+        self.clock.advance(OUTAGE_S + 1)
         self.assertEqual(0, self.contact.lasts_s())
         self.contact.answered()
         self.clock.advance(1)
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -1,4 +1,4 @@
-"""Following a table through outages and lost history."""
+"""Tests of following a table through outages and lost history."""
 
 import itertools
 import random
@@ -10,7 +10,7 @@
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
 from cactusridge.store.breaker import Breaker
-from cactusridge.store.contact import AWAY_S, StoreContact
+from cactusridge.store.contact import OUTAGE_S, StoreContact
 from cactusridge.store.table import Row
 from cactusridge.store.table_follower import (
     REREAD_S,
@@ -23,7 +23,7 @@
 
 
 class TestTableFollower(unittest.TestCase):
-    """Whole once, then changes; whole again when changes were lost."""
+    """The table is read in full, then by changes, and in full again."""
 
     def setUp(self):
         """Follow a scripted watch."""
@@ -40,7 +40,7 @@
         )
 
     def test_lost_history_is_read_whole(self):
-        """Changes that the store dropped are found by reading all."""
+        """If the store has dropped changes, all rows are read again."""
         self.watch.rows = [Row('t//a', {}, 1)]
         self.follower.step()
         self.watch.failures = [HistoryLost()]
@@ -51,7 +51,7 @@
         self.assertEqual({'t//b'}, set(self.listener.rows))
 
     def test_quiet_feed_is_no_proof(self):
-        """Now and then everything is read, whatever the feed says."""
+        """All rows are read again after REREAD_S without changes."""
         self.follower.step()
         self.follower.step()
         self.clock.advance(REREAD_S + 1)
@@ -59,7 +59,7 @@
         self.assertEqual(['all', 'after 1', 'all'], self.watch.asked)
 
     def test_outage(self):
-        """An outage changes nothing but the age of what is known."""
+        """An outage keeps the rows and increases the time of silence."""
         self.assertEqual(float('inf'), self.follower.silent_s())
         self.watch.rows = [Row('t//a', {}, 1)]
         self.follower.step()
@@ -71,34 +71,34 @@
 
 
 class FailingRows(Rows):
-    """Fails at one row, or at what is told of the whole table."""
+    """A listener that raises for one row or in one method."""
 
     def __init__(self, failing: str, failure: Exception) -> None:
-        """Fail with ``failure`` at the row or call ``failing``."""
+        """Raise ``failure`` for the row or in the method ``failing``."""
         super().__init__()
         self.failing = failing
         self.failure = failure
 
     def put(self, row):
-        """Keep a row, or fail."""
+        """Keep a row, or raise."""
         if row.key == self.failing:
             raise self.failure
         super().put(row)
 
     def keep_only(self, keys):
-        """Forget the others, or fail."""
+        """Remove the other rows, or raise."""
         if self.failing == 'keep_only':
             raise self.failure
         super().keep_only(keys)
 
     def regained(self, since):
-        """Fail or not."""
+        """Do nothing, or raise."""
         if self.failing == 'regained':
             raise self.failure
 
 
 class TestFailingListener(unittest.TestCase):
-    """What a listener cannot take costs that alone."""
+    """An error of a listener does not affect other rows."""
 
     @params(
         *itertools.product(
@@ -107,13 +107,13 @@
         ),
     )
     def test_others_are_told(self, failing, failure):
-        """Each other row is put, and what follows is only the changes."""
+        """The other rows are processed, and only changes are read next."""
         watch = ScriptedWatch()
         listener = FailingRows(failing, failure)
         clock = ManualClock()
         contact = StoreContact(clock)
         follower = TableFollower(watch, 't', ['t//'], listener, clock, contact)
-        clock.advance(AWAY_S + 1)
+        clock.advance(OUTAGE_S + 1)
         contact.answered()
         watch.rows = [Row('t//a', {}, 1), Row('t//b', {}, 1)]
         with emitted() as found:
@@ -125,7 +125,7 @@
         self.assertEqual(0, follower.silent_s())
 
     def test_typed_failure(self):
-        """A row that the listener refuses is told once a version."""
+        """Each version of a row that the listener rejects is logged once."""
         watch = ScriptedWatch()
         listener = FailingRows('t//a', UnreadableRecord('t//a'))
         clock = ManualClock()
@@ -140,10 +140,10 @@
 
 
 class TestBreakerPause(unittest.TestCase):
-    """How soon the store is asked again after an outage."""
+    """The backoff of the circuit breaker."""
 
     def test_longest_pause(self):
-        """However long the outage, the pause keeps to its bound."""
+        """The backoff never exceeds its maximum."""
         clock = ManualClock()
         breaker = Breaker(clock, random.Random(1), 0.3)
         for _ in range(40):
