--- a/cactusridge/http/__init__.py
+++ b/cactusridge/http/__init__.py
@@ -1,1 +1,1 @@
-"""Serving and calling HTTP/1.1 with gevent."""
+"""An HTTP/1.1 server and client on gevent."""
--- a/cactusridge/http/app.py
+++ b/cactusridge/http/app.py
@@ -1,4 +1,4 @@
-"""A WSGI application: routes, typed errors, request ids."""
+"""A WSGI application with routes and typed errors."""
 
 import math
 import re
@@ -15,13 +15,14 @@
 )
 from cactusridge.http.exchange import Reply, Req, json_reply
 
+# The longest accepted path, in characters.
 MAX_PATH = 2048
 Handler = Callable[..., Reply]
 StartResponse = Callable[..., Any]
 
 
 class Route(NamedTuple):
-    """A method, a pattern of the whole path, and who handles it."""
+    """A method, a pattern of the whole path, and their handler."""
 
     method: str
     pattern: re.Pattern[str]
@@ -29,12 +30,12 @@
 
 
 def route(method: str, pattern: str, handler: Handler) -> Route:
-    """Return a route; ``*`` as method takes any."""
+    """Return a route; the method ``*`` matches any method."""
     return Route(method, re.compile(pattern), handler)
 
 
 def error_reply(exc: CactusridgeError) -> Reply:
-    """Return the JSON reply for ``exc``, with Retry-After where known."""
+    """Return the JSON reply for ``exc``, with Retry-After if it is set."""
     reply = json_reply({'error': exc.body()}, exc.status)
     if exc.retry_after_s is not None:
         seconds = max(1, math.ceil(exc.retry_after_s))
@@ -51,7 +52,11 @@
         max_body: int,
         body_timeout_s: float,
     ) -> None:
-        """Take the routes in order of preference and the body's bounds."""
+        """Serve ``routes``; the first that matches a request handles it.
+
+        A body may have ``max_body`` bytes and take ``body_timeout_s`` to
+        be received.
+        """
         self.routes = list(routes)
         self.max_body = max_body
         self.body_timeout_s = body_timeout_s
@@ -61,7 +66,7 @@
         environ: dict[str, Any],
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Serve one request, as WSGI has it."""
+        """Serve one request according to WSGI (PEP 3333)."""
         req = Req(environ, self.max_body, self.body_timeout_s)
         reply = self.answer(req)
         try:
@@ -72,7 +77,7 @@
         return reply.body
 
     def answer(self, req: Req) -> Reply:
-        """Return the reply to ``req``; never raises."""
+        """Return the reply to ``req``; turn any exception into a reply."""
         try:
             return self._route(req)
         except CactusridgeError as exc:
@@ -83,15 +88,15 @@
 
     def _route(self, req: Req) -> Reply:
         if len(req.path) > MAX_PATH or '..' in req.path.split('/'):
-            raise BadRequest('the path is too long or climbs')
+            raise BadRequest('the path is too long or has a ".." segment')
         matches = [
             (found, candidate)
             for candidate in self.routes
             if (found := candidate.pattern.fullmatch(req.path))
         ]
         if not matches:
-            raise NotFound(f'nothing at {req.path}')
+            raise NotFound(f'there is nothing at {req.path}')
         for found, candidate in matches:
             if candidate.method in {req.method, '*'}:
                 return candidate.handler(req, **found.groupdict())
-        raise MethodNotAllowed(f'{req.method} is not for {req.path}')
+        raise MethodNotAllowed(f'{req.path} does not support {req.method}')
--- a/cactusridge/http/awake.py
+++ b/cactusridge/http/awake.py
@@ -1,10 +1,10 @@
-"""How long this process has listened, and time-outs that go by it.
+"""Timeouts that do not count the time in which this process did not run.
 
-A process that is late (frozen host, stalled processor, long work between
-two turns of its loop) has not listened meanwhile. Nothing can be said of
-others for that time, so whoever waits for another process measures the
-wait with a ``PatientTimeout``. Deadlines and leases never do: they are
-over when others say so.
+A process may be paused: its host is suspended, its processor is stalled, or
+work in its event loop takes long. Data that arrives in the meantime is not
+read, so the pause is no evidence that another process was silent. Code that
+waits for another process therefore uses a ``PatientTimeout``. Deadlines and
+leases never do, because other processes let them expire on time.
 """
 
 import time
@@ -17,66 +17,68 @@
 from cactusridge import events, logs
 from cactusridge.clock import AwakeClock, Clock, SystemClock
 
-# While anyone waits the clock goes on by ticks of so many seconds.
+# Seconds between two ticks of the clock; it ticks only while it is held.
 TICK_S = 0.02
-# What counts of a tick at most, in seconds: the tick and what a loop that
-# keeps up is late by. The rest is a pause. So a silence of 0.5 s is at
-# least 20 times that all greenlets which could go on have done so.
+# The most that a tick adds to the clock, in seconds: TICK_S and the usual
+# delay of a loop that keeps up. The rest of a longer tick is a pause. A
+# timeout of 0.5 s thus lasts at least 20 ticks, in each of which all
+# greenlets that were ready have run.
 MAX_STEP_S = 0.025
-# A pause of at least so many seconds is logged: half the shortest silence
-# that counts against anyone.
-LOGGED_PAUSE_S = 0.25
-# Below input and output, as with the library's own: what has come in the
-# same turn goes first.
+# The shortest pause that is logged, in seconds: half of the shortest silence
+# after which another process is considered to have failed.
+MIN_LOGGED_PAUSE_S = 0.25
+# The loop priority of the timers, below that of input and output as for
+# gevent.Timeout: data of the same loop iteration is handled first.
 PRIORITY = -1
 
 
 class ListeningClock(Clock):
-    """Counts the seconds in which the loop of a thread kept up.
+    """Counts the seconds in which a thread's event loop was not paused.
 
-    A tick is over when its time is over and what was ready to run has
-    run, which in a loop with much to do takes many turns. The clock ticks
-    only while somebody waits; who reads it now and then has to ``hold``
-    it in between.
+    A tick ends once its time has passed and all that was ready by then has
+    run, which takes many iterations of a busy loop. The clock ticks only
+    while it is held: code that reads it more than once has to call ``hold``
+    before the first read and ``release`` after the last.
     """
 
     def __init__(self, hub: Hub) -> None:
-        """Follow the loop of ``hub``."""
+        """Measure the event loop of ``hub``."""
         self._awake = AwakeClock(SystemClock(), MAX_STEP_S)
         self._loop = hub.loop
-        # One without a repeat would be due at once when started again.
+        # A timer without a repeat interval would fire at once when it is
+        # restarted.
         self._timer = hub.loop.timer(
             TICK_S, TICK_S, ref=False, priority=PRIORITY
         )
         self._holders = 0
-        self._ticks = False
+        self._ticking = False
         self._counted = float(0)
         self._ticked_at = float(0)
         self._count()
 
     def monotonic(self) -> float:
-        """Return the seconds listened, from any start."""
-        since_s = time.monotonic() - self._ticked_at
-        return self._counted + min(since_s, MAX_STEP_S)
+        """Return the seconds without pauses, from an arbitrary start."""
+        elapsed_s = time.monotonic() - self._ticked_at
+        return self._counted + min(elapsed_s, MAX_STEP_S)
 
     def wall(self) -> float:
-        """Return Unix time, which no pause stops."""
+        """Return Unix time in seconds, which includes pauses."""
         return self._awake.wall()
 
     def hold(self) -> None:
-        """Tick until there have been as many calls of ``release``."""
+        """Tick until ``release`` has been called for each ``hold``."""
         self._holders += 1
-        if not self._ticks:
-            self._ticks = True
+        if not self._ticking:
+            self._ticking = True
             self._count()
-            self._timer.again(self._due, update=True)
+            self._timer.again(self._on_timer, update=True)
 
     def release(self) -> None:
-        """Let the clock rest unless somebody else holds it."""
+        """End one ``hold``; the clock stops ticking after the last one."""
         self._holders -= 1
 
-    def _due(self) -> None:
-        """Tick when all that is ready now has run."""
+    def _on_timer(self) -> None:
+        """Schedule the tick after all callbacks that are ready now."""
         self._timer.stop()
         self._loop.run_callback(self._tick)
 
@@ -84,11 +86,12 @@
         late_s = time.monotonic() - self._ticked_at - TICK_S
         self._count()
         if self._holders:
-            self._timer.again(self._due, update=True)
-        if late_s >= LOGGED_PAUSE_S:
+            self._timer.again(self._on_timer, update=True)
+        if late_s >= MIN_LOGGED_PAUSE_S:
             logs.emit(events.LOOP_LATE, late_s=round(late_s, 3))
-        # Not stopped at each release: the next wait often begins at once.
-        self._ticks = self._holders > 0
+        # The timer ends here and not in release(), because the next wait
+        # often begins at once.
+        self._ticking = self._holders > 0
 
     def _count(self) -> None:
         self._ticked_at = time.monotonic()
@@ -101,7 +104,7 @@
 
 
 def listening_clock() -> ListeningClock:
-    """Return the clock of this thread's loop."""
+    """Return the clock of the current thread's event loop."""
     hub = gevent.get_hub()
     clock = _clocks.get(hub)
     if clock is None:
@@ -110,54 +113,60 @@
 
 
 class PatientTimeout(gevent.Timeout):
-    """A time-out over when nothing came in ``seconds`` of listening.
+    """A timeout of ``seconds``, not counting pauses of this process.
 
-    None as ``seconds`` never ends.
+    With None as ``seconds`` it never expires.
     """
 
     def __init__(self, seconds: float | None, exception: Any = None) -> None:
-        """Raise ``exception``, or itself, as ``gevent.Timeout`` does."""
+        """Take the arguments of ``gevent.Timeout``.
+
+        On expiry ``exception`` is raised, by default the timeout itself.
+        """
         super().__init__(seconds, exception, priority=PRIORITY)
         self._clock = listening_clock()
-        self._began_at = float(0)
-        self._until = float(0)
-        self._holds = False
+        self._started_at = float(0)
+        self._expires_at = float(0)
+        self._holding = False
 
     def start(self) -> None:
-        """Begin to wait, in this greenlet."""
+        """Start the timeout in the current greenlet."""
         super().start()
         if self.seconds is None:
             return
         self._clock.hold()
-        self._holds = True
-        self._began_at = time.monotonic()
-        self._until = self._clock.monotonic() + self.seconds
+        self._holding = True
+        self._started_at = time.monotonic()
+        self._expires_at = self._clock.monotonic() + self.seconds
 
     def cancel(self) -> None:
-        """Stop waiting."""
+        """Cancel the timeout; it may be started again."""
         super().cancel()
-        self._let_go()
+        self._release_clock()
 
     def close(self) -> None:
-        """Stop waiting for good."""
+        """Cancel the timeout and free its timer."""
         super().close()
-        self._let_go()
+        self._release_clock()
 
     def described(self, awaited: str) -> str:
-        """Return what was ``awaited`` and for how long, by both clocks."""
-        took_s = time.monotonic() - self._began_at
+        """Return an error text with the time waited, without and with pauses.
+
+        ``awaited`` names the operation, such as ``reading``.
+        """
+        took_s = time.monotonic() - self._started_at
         return (
-            f'{awaited}: nothing in {self.seconds} s of listening,'
-            f' {took_s:.3f} s by the clock'
+            f'{awaited}: timed out after {self.seconds} s without pauses,'
+            f' {took_s:.3f} s with pauses of this process'
         )
 
-    def _let_go(self) -> None:
-        if self._holds:
-            self._holds = False
+    def _release_clock(self) -> None:
+        if self._holding:
+            self._holding = False
             self._clock.release()
 
     def _on_expiration(self, prev_greenlet: Any, ex: Any) -> None:
-        left_s = self._until - self._clock.monotonic()
+        left_s = self._expires_at - self._clock.monotonic()
         if left_s <= 0:
             super()._on_expiration(prev_greenlet, ex)
             return
--- a/cactusridge/http/client.py
+++ b/cactusridge/http/client.py
@@ -1,4 +1,4 @@
-"""Keep-alive clients, one pool for each address."""
+"""Keep-alive HTTP clients with one connection pool for each address."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -8,12 +8,14 @@
 from cactusridge import wire
 from cactusridge.http.patience import PatientClient
 
+# The most connections of a pool.
 POOL_SIZE = 4096
+# Bytes that are read from a connection at a time.
 BLOCK_SIZE = 65536
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -24,20 +26,20 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``host:port``."""
+    """Return the address in ``host:port``; raise ValueError."""
     host, _, port = text.rpartition(':')
     return Address(host, int(port))
 
 
 class Clients:
-    """HTTP clients by address, made when first asked for."""
+    """HTTP clients by address, created on first use."""
 
     def __init__(
         self,
         connect_timeout_s: float,
         silence_timeout_s: float,
     ) -> None:
-        """Bound connecting and each wait for bytes, in seconds."""
+        """Limit connecting and each wait for bytes, in seconds."""
         self.connect_timeout_s = connect_timeout_s
         self.silence_timeout_s = silence_timeout_s
         self._clients: dict[Address, PatientClient] = {}
@@ -50,25 +52,28 @@
         headers: Mapping[str, str] | None = None,
         method: str = 'POST',
     ) -> HTTPSocketPoolResponse:
-        """Return the reply as soon as its headers are there."""
+        """Send a request and return its reply once the headers are received.
+
+        Raises OSError, or the errors of geventhttpclient.
+        """
         client = self._client(address)
         try:
             return client.request(method, path, body, dict(headers or {}))
         except RuntimeError as exc:
             if self._clients.get(address) is client:
                 raise
-            # The library says so when its pool is closed under a request
-            # that waits for a connection, or for a second one.
-            raise ConnectionResetError('dropped meanwhile') from exc
+            # geventhttpclient raises RuntimeError if its pool is closed
+            # while a request waits for a first or a second connection.
+            raise ConnectionResetError('the pool was closed') from exc
 
     def drop(self, address: Address) -> None:
-        """Close the idle connections to ``address``; new ones replace them."""
+        """Close the idle connections to ``address`` and discard its client."""
         client = self._clients.pop(address, None)
         if client is not None:
             client.close()
 
     def get_json(self, address: Address, path: str, **options: Any) -> Any:
-        """GET ``path`` and return its JSON with the status."""
+        """Send a GET for ``path``; return the status and the reply's JSON."""
         return self._json(address, path, b'', method='GET', **options)
 
     def post_json(
@@ -78,7 +83,7 @@
         message: Any,
         **options: Any,
     ) -> Any:
-        """POST ``message`` and return the reply's JSON with the status."""
+        """POST ``message`` as JSON; return the status and the reply's JSON."""
         return self._json(address, path, wire.encode(message), **options)
 
     def _json(
--- a/cactusridge/http/exchange.py
+++ b/cactusridge/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request and its reply, as the handlers of both roles see them."""
+"""The request and the reply that handlers receive and return."""
 
 import socket
 from collections.abc import Iterable, Mapping
@@ -11,8 +11,8 @@
 from cactusridge.http.readable import is_readable
 
 SOCKET_KEY = 'cactusridge.socket'
-# The request target and the headers as they came: the WSGI environment
-# has the path unquoted and repeated headers joined.
+# The request target and the headers in their original form: in the WSGI
+# environment the path is unquoted and repeated headers are joined.
 TARGET_KEY = 'cactusridge.target'
 HEADERS_KEY = 'cactusridge.headers'
 JSON_TYPE = 'application/json'
@@ -23,7 +23,7 @@
 
 
 class Reply(NamedTuple):
-    """What a handler answers."""
+    """The status, headers and body that a handler returns."""
 
     status: int
     headers: Headers
@@ -41,7 +41,7 @@
 
 
 class Req:
-    """A request; built over the WSGI environment."""
+    """A request, read from its WSGI environment."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         max_body: int,
         body_timeout_s: float,
     ) -> None:
-        """Bound the body by ``max_body`` bytes and ``body_timeout_s``."""
+        """Limit the body to ``max_body`` bytes and ``body_timeout_s``."""
         self.environ = environ
         self.method: str = environ['REQUEST_METHOD']
         self.path: str = environ['PATH_INFO']
@@ -57,14 +57,14 @@
         self.body_timeout_s = body_timeout_s
 
     def header(self, name: str, default: str = '') -> str:
-        """Return the header ``name``, any case."""
+        """Return the header ``name``, whose case does not matter."""
         key = name.upper().replace('-', '_')
         if key in {'CONTENT_TYPE', 'CONTENT_LENGTH'}:
             return self.environ.get(key) or default
         return self.environ.get(HEADER_PREFIX + key, default)
 
     def headers(self) -> Mapping[str, str]:
-        """Return every header, names in lower case."""
+        """Return all headers by their names in lower case."""
         found = {
             key.removeprefix(HEADER_PREFIX).lower().replace('_', '-'): text
             for key, text in self.environ.items()
@@ -75,12 +75,16 @@
         return found
 
     def query(self, name: str, default: str = '') -> str:
-        """Return the first query argument called ``name``."""
+        """Return the first query argument ``name``."""
         fields = parse_qs(self.environ.get('QUERY_STRING', ''))
         return fields.get(name, [default])[0]
 
     def body(self) -> bytes:
-        """Return the whole body; raise when too large, slow or cut."""
+        """Return the whole body.
+
+        Raises TooLarge, SlowRequest, or BadRequest if the body is shorter
+        than its Content-Length.
+        """
         length = self.content_length()
         if length is not None and length > self.max_body:
             raise TooLarge(f'the body is over {self.max_body} bytes')
@@ -93,20 +97,20 @@
         return raw
 
     def json(self) -> Any:
-        """Return the body as JSON."""
+        """Return the decoded JSON of the body; raise like ``body``."""
         return wire.decode(self.body())
 
     def content_length(self) -> int | None:
-        """Return the stated length in bytes, or None."""
+        """Return the Content-Length in bytes, or None; raise BadRequest."""
         text = self.header('Content-Length')
         if not text:
             return None
         if not text.isdecimal():
-            raise BadRequest('Content-Length is no number')
+            raise BadRequest('Content-Length is not a number')
         return int(text)
 
     def caller_gone(self) -> bool:
-        """Tell whether the caller has closed its connection."""
+        """Return whether the caller has closed its connection."""
         sock = self.environ.get(SOCKET_KEY)
         if sock is None:
             return False
@@ -120,4 +124,4 @@
         try:
             return source.read(self.max_body + 1)
         except OSError as exc:
-            raise BadRequest(f'the body was cut: {exc}') from exc
+            raise BadRequest(f'the body could not be read: {exc}') from exc
--- a/cactusridge/http/frames.py
+++ b/cactusridge/http/frames.py
@@ -13,7 +13,7 @@
 
 
 class FrameKind(enum.StrEnum):
-    """What a frame says."""
+    """The kind of a frame."""
 
     heartbeat = 'hb'
     started = 'started'
@@ -43,10 +43,10 @@
 
 
 class Readable(Protocol):
-    """What frames are read from; geventhttpclient's responses fit."""
+    """A source of frames, such as a response of geventhttpclient."""
 
     def readline(self, sep: bytes) -> bytes:
-        """Return bytes up to and with ``sep``, or nothing at the end."""
+        """Return the bytes up to and including ``sep``; none at the end."""
 
     def read(self, length: int) -> bytes:
         """Return ``length`` bytes, or fewer at the end."""
@@ -60,11 +60,11 @@
 
 
 def read_frame(source: Readable) -> Frame:
-    """Return the next frame; raise TruncatedReply if the reply ends."""
+    """Return the next frame; raise TruncatedReply if there is none."""
     line = source.readline(NEWLINE)
     if not line:
         raise TruncatedReply
-    head = _checked(line)
+    head = _parse_head(line)
     size = head.get('size', 0)
     payload = source.read(size) if size else b''
     if len(payload) != size:
@@ -72,15 +72,15 @@
     return Frame(head, payload)
 
 
-def _checked(line: bytes) -> FrameHead:
-    """Return the head in ``line``; a broken one is a truncated reply."""
+def _parse_head(line: bytes) -> FrameHead:
+    """Return the head in ``line``; raise TruncatedReply if it is invalid."""
     try:
         head = wire.decode(line)
     except BadRequest as exc:
         raise TruncatedReply(str(exc)) from exc
     if not isinstance(head, dict) or 'kind' not in head:
-        raise TruncatedReply('a frame without a kind')
+        raise TruncatedReply('a frame has no kind')
     size = head.get('size', 0)
     if not isinstance(size, int) or size < 0:
-        raise TruncatedReply('a frame with a wrong size')
+        raise TruncatedReply('a frame has an invalid size')
     return FrameHead(**head)
--- a/cactusridge/http/late_refusal.py
+++ b/cactusridge/http/late_refusal.py
@@ -1,4 +1,4 @@
-"""The answer to what comes too late into a planned stop."""
+"""Rejects requests that arrive too late during a planned stop."""
 
 from http import HTTPStatus
 from typing import Any
@@ -8,19 +8,19 @@
 from cactusridge.http.app import error_reply
 from cactusridge.http.exchange import HEADERS_KEY, SOCKET_KEY, TARGET_KEY
 
-# Another process takes it at once, over a new connection.
-TRY_NOW = ('Retry-After', '0')
-# For how long the rest of a body is waited for, in seconds. Unread bytes
-# would reset the connection under the answer, but a body that does not
-# come must not hold the stop up.
-BODY_S = 0.3
+# The caller can retry at once: another process serves a new connection.
+RETRY_AT_ONCE = ('Retry-After', '0')
+# Seconds to wait for the rest of a body. Closing the connection with unread
+# bytes would reset it before the caller has read the reply, but a body that
+# does not arrive must not delay the stop.
+BODY_TIMEOUT_S = 0.3
 
 
 class LateRefusal:
-    """A WSGI application: the process is stopping, nothing is run."""
+    """A WSGI application that rejects each request with ``draining``."""
 
     def __init__(self, id_header: str = '') -> None:
-        """Log each request by its header ``id_header``, if there is one."""
+        """Log requests with their id, the header ``id_header`` if any."""
         self._id_header = id_header.lower()
 
     def __call__(
@@ -28,20 +28,20 @@
         environ: dict[str, Any],
         start_response: Any,
     ) -> list[bytes]:
-        """Refuse one request, to be sent elsewhere at once."""
+        """Reject one request; the caller may retry it at once."""
         logs.emit(
             events.REQUEST_TOO_LATE,
-            request=self._id_of(environ),
+            request=self._request_id(environ),
             target=environ[TARGET_KEY],
-            whole=_read_out(environ),
+            whole=_drain_body(environ),
         )
         reply = error_reply(Draining())
-        reply.headers.append(TRY_NOW)
+        reply.headers.append(RETRY_AT_ONCE)
         phrase = HTTPStatus(reply.status).phrase
         start_response(f'{reply.status} {phrase}', reply.headers)
         return list(reply.body)
 
-    def _id_of(self, environ: dict[str, Any]) -> str:
+    def _request_id(self, environ: dict[str, Any]) -> str:
         found = (
             text
             for name, text in environ[HEADERS_KEY]
@@ -50,9 +50,9 @@
         return next(found, '')
 
 
-def _read_out(environ: dict[str, Any]) -> bool:
-    """Read the body; tell whether the whole of it came."""
-    environ[SOCKET_KEY].settimeout(BODY_S)
+def _drain_body(environ: dict[str, Any]) -> bool:
+    """Read the body; return whether all of it was received in time."""
+    environ[SOCKET_KEY].settimeout(BODY_TIMEOUT_S)
     try:
         environ['wsgi.input'].read()
     except OSError:
--- a/cactusridge/http/patience.py
+++ b/cactusridge/http/patience.py
@@ -1,4 +1,4 @@
-"""Sockets whose time-outs do not count this process's own pauses."""
+"""Sockets and clients whose timeouts ignore pauses of this process."""
 
 import contextlib
 import functools
@@ -12,9 +12,9 @@
 from cactusridge.http.awake import PatientTimeout
 from cactusridge.http.readable import is_readable, is_writable
 
-# Connections that may be gone under a call that changes nothing before it
-# fails.
-RESENDS = 2
+# How often a call that changes nothing is sent again because its connection
+# broke, before the call fails.
+MAX_RESENDS = 2
 
 
 @contextlib.contextmanager
@@ -23,11 +23,12 @@
     awaited: str,
     is_ready: Callable[[], bool],
 ) -> Iterator[None]:
-    """Bound a wait; raise TimeoutError unless it ``is_ready`` by then.
+    """Limit a wait; raise TimeoutError unless ``is_ready`` at its end.
 
-    What is ready when the time is over is taken all the same: the loop
-    hears of 64 sockets in one turn, and others may have run for long in
-    the turn in which it is over.
+    A socket that is ready when the timeout expires is still used: the loop
+    gets the events of at most 64 sockets per iteration, and in the last
+    iteration other greenlets may have run for long. ``awaited`` names the
+    operation in the error message.
     """
     limit = PatientTimeout(seconds)
     try:
@@ -41,38 +42,40 @@
 
 
 class PatientSocket(socket.socket):
-    """Gives up only if the peer, not this process, was silent.
+    """A socket that times out only if its peer was silent.
 
-    Its time-out bounds connecting, and each wait for bytes or for room
-    to send some, in seconds of listening.
+    The timeout limits connecting, each wait for bytes, and each wait for
+    space in the send buffer, in seconds without pauses of this process.
     """
 
     def connect(self, address: Any) -> None:
-        """Connect; raise TimeoutError if the peer is silent."""
+        """Connect; raise TimeoutError if the peer does not respond."""
         timeout_s = self.gettimeout()
         if timeout_s:
-            # The library bounds it by the clock, all waits together.
+            # gevent would limit the total of all waits, including pauses
+            # of this process.
             self.settimeout(None)
-            is_over = functools.partial(is_writable, self)
+            is_connected = functools.partial(is_writable, self)
             try:
-                with bounded(timeout_s, 'connecting', is_over):
+                with bounded(timeout_s, 'connecting', is_connected):
                     super().connect(address)
             finally:
                 self.settimeout(timeout_s)
-        # Tells what became of it if it was over only with its time.
+        # Raises the error of a connection that ended as the timeout expired.
         super().connect(address)
 
     def sendall(self, message: Any, flags: int = 0) -> None:
-        """Send all of ``message``; raise TimeoutError if none is taken.
+        """Send all of ``message``; raise TimeoutError if the peer stalls.
 
-        The library bounds the whole of it by the clock.
+        gevent's own method would limit the total time, including pauses of
+        this process.
         """
         left = memoryview(message).cast('B')
         while left:
             left = left[self.send(left, flags) :]
 
     def _wait(self, watcher: Any, timeout_exc: Any = None) -> None:
-        """Wait until ``watcher`` is ready; every call waits here."""
+        """Wait until ``watcher`` is ready; all socket operations use this."""
         timeout_s = self.gettimeout()
         if timeout_s is None or watcher is None:
             super()._wait(watcher, timeout_exc)
@@ -91,7 +94,10 @@
     connect_timeout_s: float,
     silence_timeout_s: float,
 ) -> PatientSocket:
-    """Return a socket connected to ``address``; raise OSError."""
+    """Return a socket connected to ``address``; raise OSError.
+
+    The timeouts limit connecting and each later wait, in seconds.
+    """
     sock = PatientSocket(socket.AF_INET, socket.SOCK_STREAM)
     sock.settimeout(connect_timeout_s)
     try:
@@ -100,14 +106,14 @@
         sock.close()
         raise
     sock.settimeout(silence_timeout_s)
-    # Head and body go out as two writes; with Nagle's algorithm the
-    # second waits for the peer's delayed acknowledgement, 40 ms.
+    # Head and body are sent by two writes. With Nagle's algorithm the second
+    # would wait up to 40 ms for the peer's delayed acknowledgement.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 class PatientPool(ConnectionPool):
-    """A pool of patient sockets."""
+    """A connection pool of ``PatientSocket`` objects."""
 
     def _create_tcp_socket(
         self,
@@ -118,19 +124,19 @@
         return PatientSocket(family, socktype, protocol)
 
     def _is_socket_alive(self, sock: PatientSocket) -> bool:
-        """Tell whether an idle connection may be used again.
+        """Return whether an idle connection can be used again.
 
-        The library asks ``select``, which refuses descriptors above
-        1,023, and so would never use such a connection twice.
+        geventhttpclient uses ``select`` here, which rejects descriptors
+        above 1,023, so it would never use such a connection again.
         """
         return sock.fileno() >= 0 and not is_readable(sock)
 
 
 class PatientClient(HTTPClient):
-    """An HTTP client over patient sockets."""
+    """An HTTP client that uses ``PatientSocket`` objects."""
 
     def __init__(self, host: str, port: int, **options: float) -> None:
-        """Connect to ``host`` and ``port``; options as the library's."""
+        """Connect to ``host`` and ``port``, with options of HTTPClient."""
         super().__init__(host, port, **options)
         self._connection_pool = PatientPool(
             host,
@@ -141,7 +147,7 @@
             connection_timeout=options['connection_timeout'],
             network_timeout=options['network_timeout'],
         )
-        # The library sends a call that changes nothing again for as often
-        # as the pool has places, to a peer that resets each connection
-        # thousands of times a second.
-        self._connection_pool.size = RESENDS - 1
+        # geventhttpclient retries a call that changes nothing as often as
+        # the size of its pool. With the real size it would retry thousands
+        # of times a second if the peer resets each connection.
+        self._connection_pool.size = MAX_RESENDS - 1
--- a/cactusridge/http/probe.py
+++ b/cactusridge/http/probe.py
@@ -1,4 +1,4 @@
-"""Whether the process behind a connection in no use lives."""
+"""Checks whether the peer of an idle connection is still running."""
 
 import socket
 
@@ -6,13 +6,13 @@
 
 from cactusridge.http.readable import is_readable
 
-# A process that ends resets what it has not accepted within this time, in
-# seconds.
+# Seconds within which a connection that an ending process has not accepted
+# is reset.
 PROBE_S = 0.05
 
 
 def is_quiet(sock: socket.socket) -> bool:
-    """Tell whether neither bytes nor an end have come on an idle socket."""
+    """Return whether an idle socket has no unread bytes and is open."""
     try:
         return not is_readable(sock)
     except (OSError, ValueError):
@@ -20,6 +20,6 @@
 
 
 def stays_open(sock: socket.socket) -> bool:
-    """Tell whether a new connection is still there after a moment."""
+    """Return whether a new connection is still open after PROBE_S."""
     gevent.sleep(PROBE_S)
     return is_quiet(sock)
--- a/cactusridge/http/secret.py
+++ b/cactusridge/http/secret.py
@@ -1,4 +1,4 @@
-"""The internal secret that processes of one system show each other."""
+"""The shared secret by which processes authenticate to each other."""
 
 import hmac
 
@@ -9,7 +9,7 @@
 
 
 def check_secret(req: Req, wanted: str) -> None:
-    """Raise Unauthorized unless ``req`` shows the secret ``wanted``."""
+    """Raise Unauthorized unless the header of ``req`` is ``wanted``."""
     given = req.header(SECRET_HEADER).encode()
     if not hmac.compare_digest(given, wanted.encode()):
         raise Unauthorized('the internal secret is wrong')
--- a/cactusridge/http/server.py
+++ b/cactusridge/http/server.py
@@ -1,4 +1,4 @@
-"""gevent's WSGI server with time-outs on reading and a graceful stop."""
+"""gevent's WSGI server with read timeouts and graceful draining."""
 
 import socket
 from http import HTTPStatus
@@ -15,27 +15,34 @@
 from cactusridge.http.unreadable import refusal
 from cactusridge.work_meter import CallGreenlet, PartGreenlet
 
+# The library writes no log of its own.
 SILENT_LOG = None
+# Seconds between two checks of a drain.
 POLL_S = 0.05
-# A server without work is quiet only after this many seconds: requests on
-# connections that it has accepted may still be on their way.
+# Seconds without a request after which a drain may end: requests on
+# connections that are already accepted may still be in transit.
 QUIET_S = 0.3
 SERVER_FAULT = 500
 
 
 class Handler(pywsgi.WSGIHandler):
-    """Handles one connection; counts the requests in work."""
+    """Handles one connection; counts the requests in flight."""
 
     def handle(self) -> None:
-        """Serve the connection; a silent one is closed after a time."""
+        """Serve the connection until it has been idle for too long."""
         self.socket.settimeout(self.server.idle_timeout_s)
-        # Head and body go out as two writes; with Nagle's algorithm the
-        # second waits for the peer's delayed acknowledgement, 40 ms.
+        # Head and body are sent by two writes. With Nagle's algorithm the
+        # second would wait up to 40 ms for the peer's delayed
+        # acknowledgement.
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the WSGI environment, with the socket to watch."""
+        """Return the WSGI environment with this project's keys added.
+
+        They hold the socket, and the target and the headers of the request
+        in their original form.
+        """
         environ = super().get_environ()
         environ[SOCKET_KEY] = self.socket
         environ[TARGET_KEY] = self.path
@@ -43,18 +50,21 @@
         return environ
 
     def MessageClass(self, *args: Any) -> Any:  # noqa: N802
-        """Return the headers; raise for a body whose end is in doubt.
+        """Return the headers; raise ValueError for an ambiguous body length.
 
-        The library would drop the length and go by the chunks; whoever
-        stands before us may have done the opposite.
+        With both Transfer-Encoding and Content-Length the library would
+        ignore the length, while a proxy in front of this server may have
+        ignored the chunks.
         """
         message = super().MessageClass(*args)
         if 'transfer-encoding' in message and 'content-length' in message:
-            raise ValueError('the length of the body is stated twice')
+            raise ValueError(
+                'Transfer-Encoding and Content-Length are both set'
+            )
         return message
 
     def handle_one_request(self) -> Any:
-        """Serve one request; refuse an unreadable one as all others are."""
+        """Serve one request; send a JSON error if it cannot be parsed."""
         outcome = super().handle_one_request()
         if isinstance(outcome, tuple):
             status = HTTPStatus(int(outcome[0]))
@@ -62,7 +72,7 @@
         return outcome
 
     def handle_one_response(self) -> None:
-        """Serve one request, counted while it is in work."""
+        """Serve one request and count it while it is in flight."""
         self.server.active += 1
         if self.server.drained:
             self.application = self.server.late_application
@@ -72,11 +82,11 @@
             self.server.active -= 1
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Write what the library reports as a numbered event."""
+        """Log an error of the library as an event of the catalogue."""
         logs.emit(events.CONNECTION_BROKEN, error=msg % args)
 
     def handle_error(self, kind: Any, error: Any, trace: Any) -> None:
-        """End the connection; no traceback for what is said already."""
+        """Log the error without a traceback and end the connection."""
         logs.emit(events.CONNECTION_BROKEN, error=repr(error))
         if self.response_length:
             self.close_connection = True
@@ -84,16 +94,16 @@
             self._send_error_response_if_possible(SERVER_FAULT)
 
     def finalize_headers(self) -> None:
-        """Close the connection after this reply once draining."""
+        """Close the connection after this reply if the server is draining."""
         if self.server.draining:
-            # Encoded already at this point, as all others are.
+            # The library has encoded the other headers at this point.
             self.response_headers.append((b'Connection', b'close'))
             self.close_connection = True
         super().finalize_headers()
 
 
 class Server(pywsgi.WSGIServer):
-    """An HTTP server that can stop without cutting a request."""
+    """An HTTP server that can stop without interrupting a request."""
 
     handler_class = Handler
 
@@ -105,10 +115,11 @@
         late_application: Any = None,
         greenlets: type[PartGreenlet] = CallGreenlet,
     ) -> None:
-        """Serve ``application`` at ``address``, an IP number and a port.
+        """Serve ``application`` at ``address``, an IP address and a port.
 
-        ``late_application`` answers what comes too late into a drain.
-        Each connection is served by one of ``greenlets``.
+        ``late_application`` replies to requests that arrive too late in a
+        drain, by default with LateRefusal. Each connection is served by a
+        greenlet of the class ``greenlets``.
         """
         super().__init__(
             address,
@@ -122,36 +133,38 @@
         self.clock: Clock = BootClock()
         self.active = 0
         self.draining = False
-        # From then on requests are refused: the process may end before
-        # they do.
+        # Whether new requests are rejected, because the process may exit
+        # before they end.
         self.drained = False
 
     def update_environ(self) -> None:
-        """Name this server by its address, without a name lookup.
+        """Set the server's name to its address, without a name lookup.
 
-        The library looks its name up, for which other greenlets run in
-        the middle of a start, seconds long where no names are served.
+        The library looks up the host name. Other greenlets would run during
+        the lookup, in the middle of the start, and without a name server it
+        takes seconds.
         """
         self.environ['SERVER_NAME'] = str(self.address[0])
         self.environ.setdefault('SERVER_PORT', str(self.address[1]))
 
     def drain(self, bound_s: float) -> bool:
-        """Stop accepting, wait for requests in work; tell if all ended.
+        """Stop accepting connections and wait for requests in flight.
 
-        Waits ``bound_s`` seconds at most. What comes later than ``QUIET_S``,
-        on a connection that idled until then, could be cut by the end of
-        the process: it is refused, however long others are in work.
+        Waits at most ``bound_s`` seconds and returns whether all requests
+        ended. After ``QUIET_S`` new requests on idle connections are
+        rejected, even while others are in flight, because the end of the
+        process could interrupt them.
         """
         self.draining = True
         self.close()
-        begun_at = self.clock.monotonic()
-        busy_at = begun_at
-        now = begun_at
-        while now - busy_at < QUIET_S and now - begun_at < bound_s:
+        started_at = self.clock.monotonic()
+        last_busy_at = started_at
+        now = started_at
+        while now - last_busy_at < QUIET_S and now - started_at < bound_s:
             gevent.sleep(POLL_S)
             now = self.clock.monotonic()
             if self.active:
-                busy_at = now
-            self.drained = now - begun_at >= QUIET_S
+                last_busy_at = now
+            self.drained = now - started_at >= QUIET_S
         self.drained = True
         return not self.active
--- a/cactusridge/http/unreadable.py
+++ b/cactusridge/http/unreadable.py
@@ -1,4 +1,4 @@
-"""The refusal of what is no readable HTTP request."""
+"""The reply to a request that cannot be parsed as HTTP."""
 
 from http import HTTPStatus
 
@@ -21,10 +21,11 @@
 
 
 def refusal(status: HTTPStatus) -> bytes:
-    """Return a whole reply that says so in the form of every error."""
+    """Return the bytes of a reply with the JSON body of an error."""
     exc = UnreadableRequest(
-        f'not a readable request: {status.phrase.lower()}; a request line'
-        ' may have 8,192 bytes, a header 65,536, and there may be 100',
+        f'the request cannot be parsed: {status.phrase.lower()}; a request'
+        ' line is limited to 8,192 bytes, a header to 65,536 bytes, and a'
+        ' request to 100 headers',
     )
     body = wire.encode({'error': exc.body()})
     return HEAD.format(status=status, size=len(body)).encode() + body
--- a/tests/late_case.py
+++ b/tests/late_case.py
@@ -1,4 +1,4 @@
-"""A test case whose loop is late while a peer is sound."""
+"""A test case with a slow event loop and a responsive peer."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 from cactusridge.http.client import Address
 
-# Longer than every time-out of these tests' own settings together.
+# Seconds; longer than the sum of all timeouts in these tests' settings.
 PAUSE_S = 1.2
 TURN_S = 0.001
 CHUNK = 1 << 20
@@ -18,29 +18,29 @@
 
 
 def block_turns(seconds):
-    """Have every turn of the loop last at least ``seconds``."""
+    """Make every iteration of the loop last at least ``seconds``."""
     while True:
         really_sleep(seconds)
         gevent.sleep(TURN_S)
 
 
 class LateCase(unittest.TestCase):
-    """Has the loop late, turn by turn or at once, while a peer is sound."""
+    """Slows down each iteration of the loop, or pauses it once."""
 
     def setUp(self):
-        """Listen as a peer."""
+        """Listen as the peer."""
         self.listener = gevent.socket.create_server(('127.0.0.1', 0))
         self.addCleanup(self.listener.close)
         self.address = Address(*self.listener.getsockname())
         self.asked = Event()
 
     def late_by(self, seconds):
-        """Make every turn of the loop late."""
+        """Delay every iteration of the loop by ``seconds``."""
         late = gevent.spawn(block_turns, seconds)
         self.addCleanup(late.kill)
 
     def answer(self, turns):
-        """Answer one request, some turns of the loop after it."""
+        """Answer one request after ``turns`` sleeps of TURN_S."""
         conn, _ = self.listener.accept()
         with conn:
             conn.recv(CHUNK)
@@ -50,6 +50,6 @@
             conn.sendall(REPLY)
 
     def pause_after_asking(self):
-        """Let nothing run for a while once a request has arrived."""
+        """Block the process for PAUSE_S once a request has arrived."""
         self.assertTrue(self.asked.wait(10))
         really_sleep(PAUSE_S)
--- a/tests/test_client_resends.py
+++ b/tests/test_client_resends.py
@@ -1,4 +1,4 @@
-"""How often a call is sent where each connection is reset."""
+"""The client limits retries to a server that resets connections."""
 
 import socket
 import struct
@@ -11,17 +11,17 @@
 from cactusridge.http.client import Address, Clients
 
 TIMEOUT_S = 1
-# A call that changes nothing may meet a connection that has just gone, and
-# another.
+# The most times that a call without side effects is sent: the first two
+# connections may have been closed by the server just before.
 MOST = 3
 NO_LINGER = struct.pack('ii', 1, 0)
 
 
 class TestResends(unittest.TestCase):
-    """A server that resets whoever sends it anything."""
+    """Calls to a server that resets each connection after a request."""
 
     def setUp(self):
-        """Start it."""
+        """Start the server."""
         self.taken = 0
         self.server = StreamServer(('127.0.0.1', 0), self.reset)
         self.server.start()
@@ -37,7 +37,7 @@
 
     @params(('GET', MOST), ('POST', 1))
     def test_bounded(self, method, most):
-        """The call fails soon; it is not sent on and on."""
+        """The call fails after a limited number of attempts."""
         address = Address('127.0.0.1', self.server.server_port)
         with self.assertRaises((OSError, HTTPConnectionClosed)):
             self.clients.send(address, '/', b'', method=method)
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -1,4 +1,4 @@
-"""A process whose loop is late takes that for nobody's silence."""
+"""A process with a slow event loop does not time out responsive peers."""
 
 import contextlib
 import unittest
@@ -27,11 +27,11 @@
 
 
 class TestLateFleet(RigCase):
-    """Everything shares a loop that is late in each of its turns."""
+    """All processes share an event loop that is slow in each iteration."""
 
     @params((0.03, REQUESTS), (0.09, REQUESTS))
     def test_sound_sidecars_are_not_silent(self, late_s, count):
-        """Every request is answered, however late."""
+        """Every request is answered, although late."""
         late = gevent.spawn(block_turns, late_s)
         self.addCleanup(late.kill)
         sent = [
@@ -42,7 +42,7 @@
         self.assertEqual([], failed)
 
     def test_hosts_stay_known(self):
-        """Sidecars that are asked late are not taken for silent."""
+        """Sidecars that are probed late are not considered silent."""
         fleet = self.rig.entries[0].subject.parts.fleet
         late = gevent.spawn(block_turns, 0.09)
         self.addCleanup(late.kill)
@@ -55,11 +55,11 @@
 
 
 class TestLateReader(LateCase):
-    """A sound peer needs some turns of a loop that is late in each."""
+    """A responsive peer needs some iterations of a slow event loop."""
 
     @params((0.03, 18), (0.09, 12))
     def test_reading(self, late_s, turns):
-        """Its answer is waited for."""
+        """The client waits for the peer's reply."""
         clients = Clients(1, SILENCE_S)
         gevent.spawn(self.answer, turns)
         self.late_by(late_s)
@@ -67,7 +67,7 @@
         self.assertEqual((200, {}), found)
 
     def test_sending(self):
-        """It takes a long request in small pieces."""
+        """The peer receives a long request in small pieces."""
         taken = []
 
         def take():
@@ -86,26 +86,30 @@
         self.assertEqual(32 * CHUNK, sum(taken))
 
     def test_nothing_taken(self):
-        """A peer that takes nothing is given up, and the error says so."""
+        """Sending to a peer that receives nothing times out."""
         self.late_by(0.03)
         with contextlib.closing(PatientSocket()) as sock:
             sock.connect(self.address)
             sock.settimeout(SILENCE_S)
-            with self.assertRaisesRegex(TimeoutError, 'sending: nothing in'):
+            with self.assertRaisesRegex(
+                TimeoutError, 'sending: timed out after'
+            ):
                 sock.sendall(bytes(32 * CHUNK))
 
     def test_nothing_said(self):
-        """A peer that says nothing is given up, and the error says so."""
+        """Reading from a peer that sends nothing times out."""
         self.late_by(0.03)
-        with self.assertRaisesRegex(TimeoutError, 'reading: nothing in 0.5 s'):
+        with self.assertRaisesRegex(
+            TimeoutError, 'reading: timed out after 0.5 s'
+        ):
             Clients(1, SILENCE_S).get_json(self.address, '/')
 
 
 class TestBehindOthers(unittest.TestCase):
-    """Waits that are over in the same turn of the loop."""
+    """Timeouts that expire in the same iteration of the loop."""
 
     def test_what_has_come_meanwhile(self):
-        """What came while the first one's greenlet ran on is read."""
+        """Data that arrives while the first timeout is handled is read."""
         pairs = [gevent.socket.socketpair() for _ in range(2)]
         socks = []
         for near, far in pairs:
@@ -130,10 +134,10 @@
 
 
 class TestLoopLate(LateCase):
-    """A pause is told of."""
+    """A pause of the event loop is logged."""
 
     def test_logged(self):
-        """While somebody waits a long pause is an event of its own."""
+        """A long pause during a timeout is logged as ``loop_late``."""
         capture = LogCapture()
         old = structlog.get_config()
         self.addCleanup(structlog.configure, **old)
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -1,4 +1,4 @@
-"""A process that was paused takes its own pause for nobody's silence."""
+"""A paused process does not take its pause for a silence of peers."""
 
 import time
 import unittest
@@ -21,10 +21,10 @@
 
 
 class TestPausedFleet(RigCase):
-    """Everything stops for longer than the time-out for silence."""
+    """All processes are paused for longer than the silence timeout."""
 
     def test_calls_under_way_are_answered(self):
-        """No call that was under way fails for the pause."""
+        """No call in flight fails because of the pause."""
         sent = [
             gevent.spawn(self.rig.chat, f'own {n}', n % 2, max_tokens=40)
             for n in range(CALLS)
@@ -36,14 +36,14 @@
         self.assertEqual({200}, {each.status for each in answers}, answers)
 
     def test_hosts_stay_known(self):
-        """No sidecar is taken for silent after the pause."""
+        """No sidecar is considered silent after the pause."""
         really_sleep(PAUSE_S)
         answers = [self.rig.chat(f'after {n}') for n in range(4)]
         self.assertEqual({200}, {each.status for each in answers}, answers)
 
 
 class TestPausedReader(unittest.TestCase):
-    """A reader was paused while its answer came."""
+    """A client is paused while its reply arrives."""
 
     def setUp(self):
         """Listen as a peer."""
@@ -53,7 +53,7 @@
         self.clients = Clients(1, SILENCE_S)
 
     def test_what_has_come_is_read(self):
-        """Bytes that came during the pause are not lost to a time-out."""
+        """Bytes that arrive during the pause are read; no timeout expires."""
         asked = gevent.spawn(self.clients.get_json, self.address, '/')
         conn, _ = self.listener.accept()
         conn.recv(1024)
@@ -64,13 +64,13 @@
         self.assertEqual((200, {}), asked.get())
 
     def test_silence_is_still_noticed(self):
-        """A peer that says nothing is given up."""
+        """Waiting for a peer that sends nothing times out."""
         with self.assertRaises(TimeoutError):
             self.clients.get_json(self.address, '/')
 
 
 class TestAwakeClock(unittest.TestCase):
-    """The clock that stands still while its process does."""
+    """The clock that does not count pauses of its process."""
 
     @params(
         ((0.1, 0.2, 0.25), 0.55),
--- a/tests/test_paused.py
+++ b/tests/test_paused.py
@@ -1,4 +1,4 @@
-"""A process that is paused at any point of an exchange goes on with it."""
+"""A process that is paused during an exchange completes it."""
 
 import socket
 import unittest
@@ -25,10 +25,10 @@
 
 
 class TestPausedConnect(unittest.TestCase):
-    """A process connects to one that takes no new connections."""
+    """A process connects to a peer that accepts no new connections."""
 
     def setUp(self):
-        """Listen with no room for a second connection."""
+        """Listen with a full backlog."""
         self.listener = socket.socket()
         self.addCleanup(self.listener.close)
         self.listener.bind(('127.0.0.1', 0))
@@ -40,10 +40,10 @@
         self.addCleanup(self.sock.close)
 
     def test_paused(self):
-        """The peer, which may have been paused too, gets its time again.
+        """A pause of the connecting process does not use up the timeout.
 
-        It has room at the end of the pause; the next packet that asks
-        for a connection comes a second after the last.
+        The peer accepts a connection at the end of the pause; the kernel
+        retries the SYN packet a second after the last one.
         """
         self.sock.settimeout(1.6)
         connecting = gevent.spawn(self.sock.connect, self.address)
@@ -54,17 +54,19 @@
         self.assertEqual(self.address, self.sock.getpeername())
 
     def test_silent(self):
-        """One that stays silent is given up, and the error says so."""
+        """Connecting to a peer that does not respond times out."""
         self.sock.settimeout(0.2)
-        with self.assertRaisesRegex(TimeoutError, 'connecting: nothing in'):
+        with self.assertRaisesRegex(
+            TimeoutError, 'connecting: timed out after'
+        ):
             self.sock.connect(self.address)
 
 
 class TestPausedExchange(LateCase):
-    """A process is paused for longer than a whole exchange may take."""
+    """A process is paused for longer than the timeouts of an exchange."""
 
     def setUp(self):
-        """Ask with short time-outs."""
+        """Configure short timeouts."""
         super().setUp()
         self.cfg = SidecarSettings.made_of(
             listen='127.0.0.1:1',
@@ -82,19 +84,19 @@
         )
 
     def test_probe(self):
-        """A sidecar that answers soon after the pause is not silent."""
+        """A probe succeeds if the sidecar answers soon after the pause."""
         gevent.spawn(self.answer, 3)
         asking = gevent.spawn(SidecarClient(self.cfg).probe, self.address, 0)
         self.pause_after_asking()
         self.assertEqual({}, asking.get())
 
     def test_probe_of_a_silent_one(self):
-        """One that says nothing is given up, and the error says so."""
-        with self.assertRaisesRegex(NoReplica, 'nothing in'):
+        """A probe of a sidecar that sends nothing times out."""
+        with self.assertRaisesRegex(NoReplica, 'timed out after'):
             SidecarClient(self.cfg).probe(self.address, 0)
 
     def test_call_that_may_not_repeat(self):
-        """An upstream that answers soon after the pause is heard."""
+        """A non-idempotent call gets a reply sent soon after the pause."""
         gevent.spawn(self.answer, 3)
         upstream = Upstream(self.cfg.upstreams[0], self.cfg)
         order = RunOrder(
@@ -117,7 +119,7 @@
 
 
 class TestPausedServer(unittest.TestCase):
-    """A server is paused while a caller sends."""
+    """A server is paused while a caller sends a body."""
 
     def setUp(self):
         """Serve one route that reads the body."""
@@ -129,12 +131,12 @@
         self.addCleanup(self.served.server.stop, 0)
 
     def read(self, req):
-        """Answer with the body."""
+        """Reply with the JSON of the body."""
         self.reading.set()
         return json_reply(req.json())
 
     def test_body(self):
-        """A caller that sends soon after the pause was not too slow."""
+        """A body that is sent soon after the pause is accepted."""
         with gevent.socket.create_connection(self.served.address) as sock:
             head = b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n'
             sock.sendall(head)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of both roles."""
+"""Tests of the HTTP server."""
 
 import itertools
 import socket
@@ -26,27 +26,27 @@
 
 
 def no_delay(req: Req) -> Reply:
-    """Answer whether Nagle's algorithm is off for this connection."""
+    """Reply whether Nagle's algorithm is off for this connection."""
     sock = req.environ[SOCKET_KEY]
     found = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     return json_reply({'no_delay': bool(found)})
 
 
 def blob(req: Req) -> Reply:
-    """Answer with more than the system keeps for a slow reader."""
+    """Reply with more bytes than the system buffers for a slow reader."""
     return Reply(200, [('Content-Length', str(BLOB))], blocks())
 
 
 def blocks() -> Iterator[bytes]:
-    """Yield a megabyte at a time."""
+    """Yield BLOB zero bytes, a megabyte at a time."""
     yield from itertools.repeat(bytes(MEGABYTE), BLOB // MEGABYTE)
 
 
 class TestServer(unittest.TestCase):
-    """A server alone."""
+    """A server with two routes."""
 
     def setUp(self):
-        """Serve one route."""
+        """Start the server."""
         routes = [route('GET', '/', no_delay), route('GET', '/blob', blob)]
         app = App(routes, 1024, 5)
         ports = Ports()
@@ -56,12 +56,12 @@
         self.clients = Clients(1, 5)
 
     def test_small_writes_are_not_held_back(self):
-        """A reply of two writes waits for no delayed acknowledgement."""
+        """Nagle's algorithm is off, so that small writes are not delayed."""
         found = self.clients.get_json(self.served.address, '/')
         self.assertEqual((200, {'no_delay': True}), found)
 
     def test_draining_server_answers_and_closes(self):
-        """A request that comes while draining is served whole."""
+        """A request that arrives while draining is served in full."""
         self.served.server.draining = True
         with self.clients.send(
             self.served.address,
@@ -75,7 +75,10 @@
             self.assertEqual(b'{"no_delay":true}', resp.read())
 
     def drain(self, conn, until_closed):
-        """Drain while ``conn`` is open; send on it before or after."""
+        """Drain the server, and send a request on the open ``conn``.
+
+        It is sent once the listener is closed, or after the drain.
+        """
         server = self.served.server
         draining = gevent.spawn(server.drain, 5)
         wait_for('it is closed', lambda: server.closed)
@@ -89,15 +92,15 @@
 
     @params((True, b'200'), (False, b'503'))
     def test_open_connection_at_the_end(self, until_closed, status):
-        """A request that is on its way is served; a late one is refused.
+        """A request in transit is served; one after the drain is rejected.
 
-        Nothing begins once the process may end.
+        No request starts once the process may exit.
         """
         raw = self.drain(self.ask(b''), until_closed)
         self.assertEqual(status, raw.split()[1])
 
     def test_bound_is_time(self):
-        """On a busy host each nap takes longer; the drain does not."""
+        """The drain is limited by a clock even if each sleep takes longer."""
         server = self.served.server
         server.clock = ManualClock()
         server.active += 1
@@ -110,7 +113,7 @@
         self.assertLess(server.clock.now, 4.2)
 
     def test_slow_body_of_a_late_request(self):
-        """A refused request whose body trickles in holds no stop up."""
+        """A slow body of a rejected request does not delay the stop."""
         server = self.served.server
         conn = self.ask(b'')
         server.active += 1
@@ -125,9 +128,10 @@
         self.assertTrue(draining.value)
 
     def test_late_while_others_work(self):
-        """One that comes late is refused though another is in work.
+        """A late request is rejected even while another is in flight.
 
-        The process ends when its time is over, in the middle of it.
+        The process may exit at the end of the drain, before the late
+        request has ended.
         """
         server = self.served.server
         conn = self.ask(b'')
@@ -143,7 +147,7 @@
         self.assertIn(b'Retry-After: 0\r\n', raw)
 
     def ask(self, raw: bytes) -> socket.socket:
-        """Send bytes as they are; return the connection."""
+        """Send ``raw`` on a new connection and return the connection."""
         conn = socket.create_connection(self.served.address)
         self.addCleanup(conn.close)
         conn.sendall(raw)
@@ -156,7 +160,7 @@
         (b'nonsense\r\n\r\n', b'400'),
     )
     def test_unreadable_request(self, raw, status):
-        """It gets an error in the form of all others, as not run."""
+        """A request that cannot be parsed gets a JSON error with not_run."""
         with self.ask(raw).makefile('rb') as answer:
             head, _, body = answer.read().partition(b'\r\n\r\n')
         self.assertEqual(status, head.split()[1])
@@ -165,7 +169,7 @@
         self.assertTrue(error['not_run'])
 
     def test_slow_reader(self):
-        """A caller that stops reading is given up; nothing is held."""
+        """The request of a caller that stops reading is ended."""
         self.served.server.idle_timeout_s = 0.5
         self.ask(b'GET /blob HTTP/1.1\r\nHost: x\r\n\r\n')
         server = self.served.server
--- a/tests/test_stop_serving.py
+++ b/tests/test_stop_serving.py
@@ -1,4 +1,4 @@
-"""What is served late in a planned stop, and what is counted of it."""
+"""Requests late in a planned stop are rejected, or counted."""
 
 import unittest
 
@@ -28,30 +28,30 @@
 
 
 class Counting(serving.Role):
-    """Counts its requests and stores the count at its end."""
+    """A role that counts requests and stores the count when closed."""
 
     def __init__(self) -> None:
-        """Start at none."""
+        """Start with no requests."""
         self.count = 0
         self.stored = None
 
     def application(self):
-        """Count each request."""
+        """Return an application that counts requests."""
         return App([route('GET', '/', self.one)], 1024, BOUND_S)
 
     def one(self, req):
-        """Count one."""
+        """Count one request."""
         self.count += 1
         return json_reply({})
 
     def start(self):
-        """Nothing to do."""
+        """Do nothing."""
 
     def begin_drain(self):
-        """Nothing to do."""
+        """Do nothing."""
 
     def finish(self, bound_s):
-        """Nothing to hand on."""
+        """Do nothing: there is no background work."""
 
     def close(self):
         """Store the count."""
@@ -59,10 +59,10 @@
 
 
 class TestOrders(unittest.TestCase):
-    """A sidecar that stops."""
+    """Orders to a draining sidecar."""
 
     def test_late_order(self):
-        """Its entry is told in a frame that the order has not run."""
+        """A late order is rejected by a frame with ``not_run``."""
         ports = Ports()
         self.addCleanup(ports.close)
         address = ports.give()
@@ -95,10 +95,10 @@
 
 
 class TestCounts(unittest.TestCase):
-    """The last that a process stores."""
+    """The counts that a process stores at its end."""
 
     def test_served_while_stopping(self):
-        """What is served after the word to stop is in the last counts."""
+        """A request served after the stop signal is in the last counts."""
         ports = Ports()
         self.addCleanup(ports.close)
         address = ports.give()
