--- a/cactusridge/__init__.py
+++ b/cactusridge/__init__.py
@@ -1,3 +1,3 @@
-"""Serving system for online and batch inference on one fleet."""
+"""A serving system for online and batch inference on a shared fleet."""
 
 __version__ = '0.1.0'
--- a/cactusridge/__main__.py
+++ b/cactusridge/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the daemon."""
+"""Starts the daemon; gevent patches the library before other imports."""
 
 from gevent import monkey
 
@@ -11,7 +11,7 @@
 
 
 def run() -> None:
-    """Run the daemon as a program."""
+    """Run the daemon and exit with its status."""
     sys.exit(main(sys.argv[1:], Environment()))
 
 
--- a/cactusridge/background.py
+++ b/cactusridge/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on beside the requests for as long as the process."""
+"""Background tasks that repeat until the process ends."""
 
 import itertools
 from collections.abc import Callable
@@ -7,11 +7,12 @@
 
 from cactusridge import events, logs
 
+# Seconds between a failed step and the next one.
 FAILURE_PAUSE_S = 1
 
 
 def always() -> bool:
-    """Tell that there is something to do."""
+    """Return True: the default condition of ``keep_doing``."""
     return True
 
 
@@ -19,10 +20,10 @@
     step: Callable[[], object],
     wanted: Callable[[], bool] = always,
 ) -> None:
-    """Do ``step`` as long as it is wanted; no failure ends it.
+    """Call ``step`` again and again while ``wanted`` returns True.
 
-    What a step does not handle itself is logged, and the next one
-    follows a second later. A step waits by itself until it is due.
+    An exception of ``step`` is logged, and the next call follows after
+    FAILURE_PAUSE_S. ``step`` itself has to wait until it is due.
     """
     while wanted():
         try:
@@ -38,9 +39,10 @@
     *,
     at_once: bool = False,
 ) -> None:
-    """Do ``step`` after each ``pause_s`` seconds; no failure ends it.
+    """Call ``step`` every ``pause_s`` seconds; log its exceptions.
 
-    The first is done ``at_once`` or after a pause like the others.
+    The first call is made at once if ``at_once`` is set, and after
+    ``pause_s`` otherwise.
     """
     pauses = itertools.chain([0] if at_once else [], itertools.repeat(pause_s))
 
--- a/cactusridge/clock.py
+++ b/cactusridge/clock.py
@@ -1,4 +1,4 @@
-"""Time sources; every decision takes one as an argument."""
+"""Time sources, passed as arguments to all code that depends on time."""
 
 import abc
 import time
@@ -9,15 +9,15 @@
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds that never go back; for lengths of time."""
+        """Return seconds that never decrease, to measure durations."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return Unix time in seconds; for display and due times."""
+        """Return Unix time in seconds, for display and due times."""
 
 
 class SystemClock(Clock):
-    """The clock of this host."""
+    """The clock of this host; its monotonic time stops during a suspend."""
 
     def monotonic(self) -> float:
         """Return the monotonic clock of this host, in seconds."""
@@ -29,10 +29,10 @@
 
 
 class BootClock(Clock):
-    """A clock that goes on while the host is suspended.
+    """A clock that also counts the time in which the host is suspended.
 
-    Deadlines and leases are over when others say so, also for a process
-    that stood still meanwhile.
+    Deadlines and leases use it: other processes let them expire on time,
+    also while this process is suspended.
     """
 
     def monotonic(self) -> float:
@@ -45,35 +45,35 @@
 
 
 class AwakeClock(Clock):
-    """A clock that stands still while its process is paused.
+    """A clock that does not count the pauses of its own process.
 
-    Nothing can be said of others for the time this process itself did
-    not run: a host is not silent for not having been listened to. It
-    has to be read at least once in ``max_step_s`` seconds; a longer
-    step is taken for a pause. Leases and deadlines never use it.
+    While this process does not run it receives nothing, so the time is no
+    evidence that another host was silent. The clock has to be read at least
+    every ``max_step_s`` seconds; of a longer step the rest is taken for a
+    pause. Leases and deadlines never use it.
     """
 
     def __init__(self, source: Clock, max_step_s: float) -> None:
-        """Follow ``source`` by steps of at most ``max_step_s`` seconds."""
+        """Advance with ``source``, by at most ``max_step_s`` per read."""
         self._source = source
         self._max_step_s = max_step_s
         self._read_at = source.monotonic()
         self._now = self._read_at
 
     def monotonic(self) -> float:
-        """Return the seconds the process has been awake, from any start."""
+        """Return the seconds without pauses, from an arbitrary start."""
         read_at = self._source.monotonic()
         self._now += min(read_at - self._read_at, self._max_step_s)
         self._read_at = read_at
         return self._now
 
     def wall(self) -> float:
-        """Return Unix time, which no pause stops."""
+        """Return Unix time in seconds, which includes pauses."""
         return self._source.wall()
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to; for replays and tests."""
+    """A clock that only ``advance`` changes, for simulations and tests."""
 
     def __init__(self, now: float = 0) -> None:
         """Start at ``now`` seconds."""
@@ -88,5 +88,5 @@
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move forward by ``seconds``."""
+        """Advance the time by ``seconds``."""
         self.now += seconds
--- a/cactusridge/core.py
+++ b/cactusridge/core.py
@@ -1,4 +1,4 @@
-"""The daemon: reads its start settings, serves, stops gracefully."""
+"""The daemon: reads its start settings, serves and stops gracefully."""
 
 import signal
 
@@ -20,14 +20,15 @@
     SidecarSettings,
 )
 
+# Seconds between two checks of the sidecar's admission gates.
 TICK_S = 0.1
 
 
 class EntryRole(Role):
-    """Runs an entry."""
+    """The role of an entry, which serves callers and operators."""
 
     def __init__(self, cfg: EntrySettings, clock: Clock) -> None:
-        """Build the entry."""
+        """Create the entry from its start settings."""
         self._entry = Entry(cfg, clock)
 
     def application(self) -> object:
@@ -39,23 +40,23 @@
         self._entry.start()
 
     def begin_drain(self) -> None:
-        """Fail readiness."""
+        """Report that the entry is not ready."""
         self._entry.begin_drain()
 
     def finish(self, bound_s: float) -> None:
-        """Hand batch work back."""
+        """Hand over batch work within ``bound_s`` seconds."""
         self._entry.finish(bound_s)
 
     def close(self) -> None:
-        """Store the last counts."""
+        """Store the counts of the last requests."""
         self._entry.close()
 
 
 class SidecarRole(Role):
-    """Runs a sidecar."""
+    """The role of a sidecar, which serves beside an upstream."""
 
     def __init__(self, cfg: SidecarSettings, clock: Clock) -> None:
-        """Build the sidecar."""
+        """Create the sidecar from its start settings."""
         self._sidecar = Sidecar(cfg, clock)
 
     def application(self) -> object:
@@ -63,23 +64,23 @@
         return self._sidecar.app
 
     def start(self) -> None:
-        """Let the gates look at the time now and then."""
+        """Start the periodic checks of the admission gates."""
         gevent.spawn(self._tick)
 
     def begin_drain(self) -> None:
-        """Take no new work; say so to every entry that asks."""
+        """Reject new work, and report the drain in replies to entries."""
         self._sidecar.begin_drain()
 
     def late_application(self) -> object:
-        """Return the application itself: it refuses orders in frames.
+        """Return the application itself, which rejects orders in frames.
 
-        An entry that gets no frame can't tell that its order has not
-        run, and may not send it elsewhere.
+        Without a frame an entry does not know that its order has not run,
+        and must not send it to another sidecar.
         """
         return self._sidecar.app
 
     def finish(self, bound_s: float) -> None:
-        """Nothing is left once the requests have ended."""
+        """Do nothing: a sidecar has no work besides its requests."""
 
     def _tick(self) -> None:
         while True:
@@ -88,7 +89,7 @@
 
 
 def make_role(cfg: CommonSettings, clock: Clock) -> Role:
-    """Return the role that ``cfg`` is for."""
+    """Return the role that ``cfg`` configures; raise TypeError."""
     if isinstance(cfg, EntrySettings):
         return EntryRole(cfg, clock)
     if isinstance(cfg, SidecarSettings):
@@ -97,7 +98,7 @@
 
 
 def serve_as(cfg: CommonSettings, stop: Event) -> ExitStatus:
-    """Serve the role that ``cfg`` is for until ``stop`` is set."""
+    """Serve the role that ``cfg`` configures until ``stop`` is set."""
     logs.configure(cfg.log.style)
     logs.bind(address=str(cfg.address), zone=cfg.zone)
     descriptors.allow_many()
@@ -105,13 +106,13 @@
 
 
 def report_mistakes(env: Environment, exc: BadStartSettings) -> None:
-    """Write every mistake on a line of its own."""
+    """Write each mistake to the error stream, one per line."""
     for mistake in exc.exceptions:
         env.stderr.write(f'cactusridged: {mistake}\n')
 
 
 def make_app(env: Environment) -> typer.Typer:
-    """Return the daemon's command line."""
+    """Return the daemon's command-line application."""
     app = typer.Typer(
         add_completion=False,
         no_args_is_help=True,
--- a/cactusridge/descriptors.py
+++ b/cactusridge/descriptors.py
@@ -1,14 +1,14 @@
-"""How many connections and files a process may have open."""
+"""The limit of open connections and files of the process."""
 
 import resource
 
 
 def allow_many() -> int:
-    """Raise the limit to the most the system allows; return it.
+    """Raise the soft limit to the hard limit and return it.
 
-    The usual 1,024 would refuse callers at some hundred streams, each
-    of which holds two connections. Source: setrlimit(2).
+    With the usual limit of 1,024 callers would be rejected at some hundreds
+    of streams, each of which has two connections. Source: setrlimit(2).
     """
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    return most
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    return hard_limit
--- a/cactusridge/environment.py
+++ b/cactusridge/environment.py
@@ -1,4 +1,4 @@
-"""What a program takes from its surroundings, so that tests can replace it."""
+"""The process environment of a program, which tests can replace."""
 
 import os
 import sys
@@ -7,7 +7,7 @@
 
 
 class Environment(NamedTuple):
-    """Streams and variables of one run of a program."""
+    """The standard streams and environment variables of a program."""
 
     stdin: TextIO = sys.stdin
     stdout: TextIO = sys.stdout
--- a/cactusridge/errors.py
+++ b/cactusridge/errors.py
@@ -1,10 +1,13 @@
-"""Typed failures and the JSON body that each becomes on the wire."""
+"""The errors of this project and the JSON body of each.
+
+The docstring of an error class is its default message to clients.
+"""
 
 from typing import ClassVar, TypedDict
 
 
 class ErrorBody(TypedDict):
-    """The ``error`` object of every refusal."""
+    """The ``error`` object of every error reply."""
 
     type: str
     code: str
@@ -15,7 +18,7 @@
 
 
 class CactusridgeError(Exception):
-    """Root of every failure that this project raises."""
+    """Base class of the errors of this project."""
 
     status: ClassVar[int] = 500
     kind: ClassVar[str] = 'server_error'
@@ -30,15 +33,19 @@
         param: str | None = None,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep the text, the field at fault and the seconds to wait."""
+        """Create an error; the default message is the class docstring.
+
+        ``param`` is the invalid field of the request, ``retry_after_s`` the
+        seconds after which the caller may retry.
+        """
         super().__init__(message or self.__class__.__doc__ or self.code)
         self.param = param
-        # Whoever raises it may know better than the usual wait.
-        known = retry_after_s is not None
-        self.retry_after_s = retry_after_s if known else self.come_back_s
+        # An explicit wait takes precedence over the default of the class.
+        is_set = retry_after_s is not None
+        self.retry_after_s = retry_after_s if is_set else self.come_back_s
 
     def body(self) -> ErrorBody:
-        """Return the ``error`` object for the wire."""
+        """Return the ``error`` object of the reply."""
         return ErrorBody(
             type=self.kind,
             code=self.code,
@@ -67,7 +74,7 @@
 
 
 class Forbidden(BadRequest):
-    """The token does not open this path."""
+    """The token does not permit access to this path."""
 
     status = 403
     kind = 'permission_error'
@@ -82,13 +89,13 @@
 
 
 class ModelNotFound(NotFound):
-    """The model does not exist or is not open to this team."""
+    """The model does not exist or is not available to this team."""
 
     code = 'model_not_found'
 
 
 class MethodNotAllowed(BadRequest):
-    """The path does not take this method."""
+    """The path does not support this method."""
 
     status = 405
     code = 'method_not_allowed'
@@ -166,7 +173,7 @@
 
 
 class Tombstoned(Refused):
-    """The order was given up before it arrived."""
+    """The order was abandoned before it arrived."""
 
     status = 409
     code = 'tombstoned'
@@ -195,7 +202,7 @@
 
 
 class UpstreamCrashed(UpstreamFailed):
-    """The upstream ended while it had the request."""
+    """The upstream process ended while it was handling the request."""
 
     code = 'upstream_crashed'
 
@@ -210,7 +217,7 @@
 
 
 class TruncatedReply(UpstreamFailed):
-    """A reply ended before it was whole."""
+    """A reply ended before it was complete."""
 
     code = 'truncated_reply'
 
@@ -222,7 +229,7 @@
 
 
 class CallerGone(CactusridgeError):
-    """The caller hung up."""
+    """The caller closed its connection."""
 
     status = 499
     code = 'caller_gone'
--- a/cactusridge/events.py
+++ b/cactusridge/events.py
@@ -99,7 +99,7 @@
 
 
 def catalogue() -> tuple[Event, ...]:
-    """Return every event, by number."""
+    """Return every event, sorted by number."""
     names = globals()  # noqa: WPS421
     found = [entry for entry in names.values() if isinstance(entry, Event)]
     return tuple(sorted(found))
--- a/cactusridge/exits.py
+++ b/cactusridge/exits.py
@@ -1,10 +1,10 @@
-"""Exit codes of the daemon and of the command line."""
+"""Exit statuses of the daemon and of the command-line tool."""
 
 import enum
 
 
 class ExitStatus(enum.IntEnum):
-    """Why a program ended; docs/OPERATING.md lists them."""
+    """The exit status of a program; docs/OPERATING.md lists them."""
 
     success = 0
     failure = 1
--- a/cactusridge/hashing.py
+++ b/cactusridge/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: the same in every process and on every host."""
+"""Hashes that are the same in every process and on every host."""
 
 from collections.abc import Iterable
 
@@ -10,10 +10,10 @@
     return xxhash.xxh64_intdigest(text.encode(), seed=seed)
 
 
-def rendezvous(names: Iterable[str], thing: int) -> list[str]:
-    """Return ``names`` by rank for ``thing``, the best first.
+def rendezvous(names: Iterable[str], key: int) -> list[str]:
+    """Return ``names`` in their rendezvous order for ``key``, best first.
 
-    Everyone who knows the same names finds the same order, and a name
-    that goes moves no other.
+    All processes that have the same names compute the same order, and
+    removing a name does not change the order of the others.
     """
-    return sorted(names, key=lambda name: hash64(name, thing), reverse=True)
+    return sorted(names, key=lambda name: hash64(name, key), reverse=True)
--- a/cactusridge/logs.py
+++ b/cactusridge/logs.py
@@ -1,4 +1,4 @@
-"""Logs through structlog: every line is an event of the catalogue."""
+"""Logging through structlog; every line is an event of the catalogue."""
 
 import sys
 from typing import Any, Protocol
@@ -9,17 +9,17 @@
 
 
 class Stream(Protocol):
-    """Where lines go."""
+    """The destination of log lines."""
 
     def write(self, text: str) -> int:
-        """Take a line."""
+        """Write ``text`` and return its length."""
 
     def flush(self) -> None:
-        """Let lines go out."""
+        """Write out buffered lines."""
 
 
 def configure(style: str, stream: Stream = sys.stderr) -> None:
-    """Write logs to ``stream`` as ``json`` or for a ``console``."""
+    """Write logs to ``stream`` in the style ``json`` or ``console``."""
     renderer: Any = structlog.processors.JSONRenderer()
     if style == 'console':
         renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -35,12 +35,12 @@
 
 
 def bind(**fields: Any) -> None:
-    """Put ``fields`` on every line of this process."""
+    """Add ``fields`` to every log line of this process."""
     structlog.contextvars.bind_contextvars(**fields)
 
 
 def emit(event: Event, **fields: Any) -> None:
-    """Write one event with its number and ``fields``."""
+    """Log ``event`` with its number and ``fields``."""
     logger = structlog.get_logger()
     write = getattr(logger, event.level)
     write(event.name, number=event.number, **fields)
--- a/cactusridge/metrics.py
+++ b/cactusridge/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of both roles; docs/METRICS.md explains each."""
+"""The metrics of all roles; docs/METRICS.md explains each."""
 
 from http import HTTPStatus
 
--- a/cactusridge/orders.py
+++ b/cactusridge/orders.py
@@ -1,4 +1,4 @@
-"""Messages between an entry and a sidecar."""
+"""The messages between an entry and a sidecar."""
 
 import enum
 from typing import NotRequired, TypedDict, TypeVar
@@ -7,32 +7,33 @@
 
 from cactusridge.errors import BadRequest
 
+# The longest id or resource name, in characters.
 MAX_ID = 200
 MessageT = TypeVar('MessageT', bound='Message')
 
 
 class WorkClass(enum.StrEnum):
-    """Who waits for the work: a person, or a job."""
+    """The class of the work: an online request or a batch item."""
 
     online = 'online'
     batch = 'batch'
 
 
 class Message(BaseModel):
-    """An internal message; a key of a newer version is passed over."""
+    """An internal message; unknown keys of newer versions are ignored."""
 
     model_config = ConfigDict(extra='ignore', frozen=True)
 
 
 class Fence(Message):
-    """A fencing number for a resource; a lower one is out of date."""
+    """A fencing number of a resource; lower numbers are stale."""
 
     resource: str = Field(min_length=1, max_length=MAX_ID)
     number: int = Field(ge=1)
 
 
 class RunOrder(Message):
-    """One request for an upstream; its body follows on the wire."""
+    """A request for an upstream; its body follows the order's line."""
 
     id: str = Field(min_length=1, max_length=MAX_ID)
     incarnation: str
@@ -53,7 +54,7 @@
 
 
 class TombstoneOrder(Message):
-    """Asks whether an order ran; if not, it never will."""
+    """Asks whether an order ran, and prevents it from running if not."""
 
     id: str = Field(min_length=1, max_length=MAX_ID)
     incarnation: str
@@ -67,14 +68,14 @@
 
 
 class SettingsPush(Message):
-    """The settings that concern one sidecar, by service path."""
+    """The settings for one sidecar, by service path."""
 
     version: int = Field(ge=0)
     services: dict[str, dict[str, object]]
 
 
 class Verdict(enum.StrEnum):
-    """What became of an order."""
+    """Whether an order has run."""
 
     never = 'never'
     ran = 'ran'
@@ -82,7 +83,10 @@
 
 
 class ServiceReport(TypedDict):
-    """Load of one upstream in requests; its pace in seconds a token."""
+    """The load of an upstream in requests, and its speed.
+
+    ``token_s`` is in seconds per token, ``wait_s`` in seconds.
+    """
 
     online_running: int
     online_waiting: int
@@ -95,7 +99,7 @@
 
 
 class SidecarReport(TypedDict):
-    """What a sidecar says of itself in every reply."""
+    """The state that a sidecar reports in every reply."""
 
     incarnation: str
     draining: bool
@@ -108,12 +112,15 @@
     r"""Split ``raw`` at the first ``\n`` into the order and its body."""
     line, newline, body = raw.partition(b'\n')
     if not newline:
-        raise BadRequest('an order without its line')
+        raise BadRequest('the order is not followed by a newline')
     return parse_message(RunOrder, line), body
 
 
 def parse_message(model: type[MessageT], raw: bytes) -> MessageT:
-    """Return ``raw`` as a ``model``; raise BadRequest naming the field."""
+    """Return the JSON ``raw`` as a ``model``.
+
+    Raises BadRequest with the name of the invalid field.
+    """
     try:
         return model.model_validate_json(raw)
     except ValidationError as exc:
--- a/cactusridge/serving.py
+++ b/cactusridge/serving.py
@@ -1,4 +1,4 @@
-"""Serving one role of the daemon and stopping it without cutting a call."""
+"""Serves a role of the daemon and drains it without interrupting calls."""
 
 import abc
 
@@ -14,7 +14,7 @@
 
 
 class Role(abc.ABC):
-    """What the daemon runs."""
+    """A role in which the daemon serves."""
 
     @abc.abstractmethod
     def application(self) -> object:
@@ -25,28 +25,28 @@
         """Start the greenlets."""
 
     def listening(self) -> None:
-        """Note that callers can connect; until then nobody is ready."""
+        """Handle that callers can connect; the role is not ready before."""
 
     @abc.abstractmethod
     def begin_drain(self) -> None:
-        """Fail readiness."""
+        """Report that the process is not ready."""
 
     def late_application(self) -> object:
-        """Return the application for what comes too late into a stop.
+        """Return the application for requests too late in a planned stop.
 
-        It refuses in the form that callers of this role expect.
+        It rejects them in the form that callers of this role expect.
         """
         return LateRefusal()
 
     @abc.abstractmethod
     def finish(self, bound_s: float) -> None:
-        """Hand background work on within ``bound_s`` seconds.
+        """Hand over background work within ``bound_s`` seconds.
 
-        Requests are still served meanwhile.
+        Requests are still served in the meantime.
         """
 
     def close(self) -> None:
-        """Store what only the end of the last request settles."""
+        """Store data that is complete only after the last request."""
 
 
 def serve(cfg: CommonSettings, role: Role, stop: Event) -> ExitStatus:
@@ -66,21 +66,21 @@
 
 
 def drain(cfg: CommonSettings, role: Role, server: Server) -> ExitStatus:
-    """Stop without cutting a request.
+    """Stop without interrupting a request.
 
-    The whole takes ``readiness_delay_s`` and ``drain_s`` at most, by a
-    clock and not by naps, which are long on a busy host: whoever sent
-    the signal kills what is still there after its own time.
+    This takes at most ``readiness_delay_s`` plus ``drain_s`` seconds. The
+    limit is checked by a clock, because sleeps take longer on a busy host
+    and the sender of the stop signal kills the process after its own limit.
     """
     logs.emit(events.DRAIN_BEGUN, active=server.active)
     clock = BootClock()
     end_at = clock.monotonic() + cfg.readiness_delay_s + cfg.drain_s
     role.begin_drain()
-    # From now on each reply says that the connection closes.
+    # From now on each reply closes its connection.
     server.draining = True
     finishing = gevent.spawn(role.finish, cfg.drain_s)
-    # The balancer and the entries need a moment to see it; until then
-    # requests are still taken.
+    # The load balancer and the entries notice the drain after a delay;
+    # until then requests are still accepted.
     gevent.sleep(cfg.readiness_delay_s)
     ended = server.drain(end_at - clock.monotonic())
     finishing.join(max(0, end_at - clock.monotonic()))
--- a/cactusridge/wire.py
+++ b/cactusridge/wire.py
@@ -1,4 +1,4 @@
-"""JSON as it goes between processes."""
+"""Encoding of the JSON that processes exchange."""
 
 from typing import Any
 
@@ -13,13 +13,13 @@
 
 
 def canonical(message: Any) -> bytes:
-    """Return ``message`` as JSON that does not depend on key order."""
+    """Return ``message`` as JSON with sorted keys."""
     return orjson.dumps(message, option=orjson.OPT_SORT_KEYS)
 
 
 def decode(raw: bytes) -> Any:
-    """Return the JSON in ``raw``; raise BadRequest when it is none."""
+    """Return the decoded JSON of ``raw``; raise BadRequest if invalid."""
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
-        raise BadRequest(f'not JSON: {exc}') from exc
+        raise BadRequest(f'invalid JSON: {exc}') from exc
--- a/cactusridge/work_meter.py
+++ b/cactusridge/work_meter.py
@@ -1,8 +1,7 @@
-"""Processor time of this process by part of its work.
+"""Measures the processor time of this process by part of its work.
 
-Every greenlet belongs to a part. The meter is called at each switch
-between greenlets and books the time since the last one on the part that
-ran.
+Every greenlet belongs to a part. At each switch between greenlets the meter
+adds the processor time since the last switch to the part that was running.
 """
 
 import enum
@@ -16,13 +15,15 @@
 
 
 class Part(enum.StrEnum):
-    """A part of the work of a process."""
+    """A part of the work of a process; the values are metric labels."""
 
-    # gevent's loop: waiting, timers, callbacks.
+    # gevent's event loop: waiting, timers and callbacks.
     loop = 'loop'
-    # Connections of callers, from reading a request to its last byte.
+    # Connections of callers, from reading a request to sending the last
+    # byte of its reply.
     calls = 'calls'
-    # The internal servers: readiness, metrics, catalogues for peers.
+    # Connections to the internal servers: readiness, metrics and catalogs
+    # for peers.
     inner_calls = 'inner_calls'
     caller_watch = 'caller_watch'
     peers_heard = 'peers_heard'
@@ -32,19 +33,19 @@
     scheduler = 'scheduler'
     claims = 'claims'
     items = 'items'
-    # Taking, checking and ending jobs, and the look for orphans.
+    # Taking over, checking and ending jobs, and polling for orphaned jobs.
     jobs = 'jobs'
     log = 'log'
     other = 'other'
 
 
 class Work:
-    """Processor seconds of a part, and how often it was switched to."""
+    """The processor seconds of a part and the switches to its greenlets."""
 
     __slots__ = ('seconds', 'turns')
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start at zero."""
         self.seconds = float(0)
         self.turns = 0
 
@@ -56,13 +57,13 @@
 
 
 class CallGreenlet(PartGreenlet):
-    """Serves a connection of a caller."""
+    """A greenlet that serves a connection of a caller."""
 
     part = Part.calls.value
 
 
 class InnerCallGreenlet(PartGreenlet):
-    """Serves a connection from within the deployment."""
+    """A greenlet that serves a connection from within the deployment."""
 
     part = Part.inner_calls.value
 
@@ -81,12 +82,13 @@
 
 
 class WorkMeter:
-    """Books processor time on parts; counts steps of the work."""
+    """Adds up processor time by part and counts steps of the work."""
 
     def __init__(self, clock: Callable[[], float] = time.thread_time) -> None:
-        """Go by ``clock``, the processor seconds of this thread."""
+        """Measure by ``clock``, which returns this thread's CPU seconds."""
         self.parts = {part.value: Work() for part in Part}
-        # How often something was done; docs/METRICS.md lists the steps.
+        # The number of times each step was done; docs/METRICS.md lists the
+        # steps.
         self.steps: Counter[str] = Counter()
         self._other = self.parts[Part.other]
         self._clock = clock
@@ -94,13 +96,13 @@
         self._hub: object = None
 
     def start(self) -> None:
-        """Measure this thread from now on."""
+        """Start measuring the current thread."""
         self._hub = gevent.get_hub()
         self._since = self._clock()
         greenlet.settrace(self._switched)
 
     def stop(self) -> None:
-        """Measure no longer."""
+        """Stop measuring."""
         greenlet.settrace(None)
 
     def _switched(self, _: str, args: tuple[object, object]) -> None:
@@ -110,12 +112,12 @@
         self._work(target).turns += 1
         self._since = now
 
-    def _work(self, one: object) -> Work:
-        if one is self._hub:
+    def _work(self, running: object) -> Work:
+        if running is self._hub:
             return self.parts['loop']
-        part = getattr(one, 'part', None)
+        part = getattr(running, 'part', None)
         return self._other if part is None else self.parts[part]
 
 
-# The meter of this process.
+# The meter of the process.
 METER = WorkMeter()
--- a/cactusridge/work_report.py
+++ b/cactusridge/work_report.py
@@ -1,4 +1,4 @@
-"""Tells in metrics and log what the process has worked on."""
+"""Reports the process's work by part in the metrics and the log."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,21 +9,22 @@
 from cactusridge import events, logs, metrics
 from cactusridge.work_meter import WorkMeter
 
-# Seconds between two reports: one line of some 800 bytes.
+# Seconds between two reports; each is a log line of some 800 bytes.
 REPORT_S = 5.0
-# Decimal places of processor seconds in the log: tenths of a millisecond.
+# Decimal places of processor seconds in the log, for a resolution of a tenth
+# of a millisecond.
 PLACES = 4
 
 
 class Totals(NamedTuple):
-    """What a meter has counted, by part and by step."""
+    """The totals of a meter by part and by step."""
 
     seconds: Counter[str]
     turns: Counter[str]
     steps: Counter[str]
 
     def since(self, earlier: 'Totals') -> 'Totals':
-        """Return what has come since; what has not grown is left out."""
+        """Return the increase since ``earlier``, without zero increases."""
         return Totals(
             self.seconds - earlier.seconds,
             self.turns - earlier.turns,
@@ -32,39 +33,39 @@
 
 
 class WorkReport:
-    """Reports what a meter has counted since the last report."""
+    """Reports the increase of a meter's totals since the last report."""
 
     def __init__(
         self,
         meter: WorkMeter,
         depths: Callable[[], dict[str, int]],
     ) -> None:
-        """Report ``meter`` and the lengths of queues, ``depths``."""
+        """Report ``meter`` and the queue lengths that ``depths`` returns."""
         self._meter = meter
         self._depths = depths
         self._reported = Totals(Counter(), Counter(), Counter())
 
     def step(self) -> None:
-        """Wait until a report is due and make it."""
+        """Wait until the next report is due and make it."""
         gevent.sleep(REPORT_S)
         self.report()
 
     def report(self) -> None:
-        """Add what is new to the metrics and write it to the log."""
+        """Add the increase since the last report to the metrics and log it."""
         totals = self._totals()
-        new = totals.since(self._reported)
+        increase = totals.since(self._reported)
         self._reported = totals
         depths = self._depths()
-        _add_to_metrics(new, depths)
+        _add_to_metrics(increase, depths)
         rounded = {
             part: round(spent_s, PLACES)
-            for part, spent_s in new.seconds.items()
+            for part, spent_s in increase.seconds.items()
         }
         logs.emit(
             events.WORK_REPORT,
             seconds=rounded,
-            turns=new.turns,
-            steps=new.steps,
+            turns=increase.turns,
+            steps=increase.steps,
             depths=depths,
         )
 
@@ -77,12 +78,12 @@
         )
 
 
-def _add_to_metrics(new: Totals, depths: dict[str, int]) -> None:
-    for part, spent_s in new.seconds.items():
+def _add_to_metrics(increase: Totals, depths: dict[str, int]) -> None:
+    for part, spent_s in increase.seconds.items():
         metrics.WORK_SECONDS.add({'part': part}, spent_s)
-    for switched_to, turns in new.turns.items():
+    for switched_to, turns in increase.turns.items():
         metrics.WORK_TURNS.add({'part': switched_to}, turns)
-    for step, times in new.steps.items():
+    for step, times in increase.steps.items():
         metrics.STEPS.add({'step': step}, times)
     for queue, length in depths.items():
         metrics.DEPTH.set({'queue': queue}, length)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Work that is done again and again."""
+"""Tests of repeated background tasks."""
 
 import unittest
 
@@ -7,16 +7,16 @@
 
 from cactusridge.background import keep_doing_every
 
-# Far longer than the test takes.
+# Seconds; far longer than the test takes.
 PAUSE_S = 1000
 
 
 class TestKeepDoing(unittest.TestCase):
-    """When the first step is done."""
+    """The time of the first step, and a failure of it."""
 
     @params((True, 1), (False, 0))
     def test_first_step(self, at_once, wanted):
-        """At once where that is asked for, else after a pause."""
+        """The first step runs at once if requested, else after a pause."""
         steps = []
         doing = gevent.spawn(
             keep_doing_every,
@@ -29,7 +29,7 @@
         self.assertEqual(wanted, len(steps))
 
     def test_failed_first_step(self):
-        """A first step that fails ends nothing."""
+        """A first step that raises does not end the task."""
         doing = gevent.spawn(
             keep_doing_every,
             PAUSE_S,
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,20 +1,20 @@
-"""A log whose reader does not read harms nobody."""
+"""A log stream does not block when its reader stops reading."""
 
 import os
 import unittest
 
 import gevent
 
-from cactusridge.log_stream import BURST_LINES, MAX_WAITING, LogStream
+from cactusridge.log_stream import BURST_LINES, MAX_QUEUED_LINES, LogStream
 
 LINE = 'x' * 200
 
 
 class TestLogStream(unittest.TestCase):
-    """Bounded, and never waited for."""
+    """The stream is rate-limited and never blocks its writers."""
 
     def setUp(self):
-        """Write to a pipe."""
+        """Create a log stream that writes to a pipe."""
         reader, writer = os.pipe()
         self.reader = reader
         self.addCleanup(os.close, self.reader)
@@ -22,14 +22,14 @@
         self.stream = LogStream(writer)
 
     def test_reader_that_stops(self):
-        """Writing goes on at once though nobody reads."""
+        """Writes return at once although the pipe is not read."""
         with gevent.Timeout(5):
-            for _ in range(3 * MAX_WAITING):
+            for _ in range(3 * MAX_QUEUED_LINES):
                 self.stream.write(f'{LINE}\n')
             gevent.sleep(0)
 
     def test_volume_is_bounded(self):
-        """Over the burst, lines are dropped and their number is said."""
+        """Lines above the burst are dropped, and their number is written."""
         for _ in range(BURST_LINES * 2):
             self.stream.write('line\n')
         found = b''
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The order of a start: nobody is ready before callers can connect."""
+"""The order of a start: a role is notified once callers can connect."""
 
 import socket
 import unittest
@@ -13,37 +13,37 @@
 
 
 class CuriousRole(Role):
-    """Tries to connect when it is told that callers can."""
+    """Connects to its address when it is notified that it listens."""
 
     def __init__(self, address):
-        """Remember where callers will connect."""
+        """Keep the address at which callers connect."""
         self.address = address
         self.connected = False
 
     def application(self):
-        """Serve nothing."""
+        """Return no application."""
 
     def start(self):
-        """Give other greenlets a turn, as a real start may."""
+        """Switch to other greenlets, as a real start may."""
         gevent.sleep(0)
 
     def listening(self):
-        """Connect as a caller would."""
+        """Connect as a caller does."""
         socket.create_connection(self.address, 1).close()
         self.connected = True
 
     def begin_drain(self):
-        """Nothing to do."""
+        """Do nothing."""
 
     def finish(self, bound_s):
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class TestServing(unittest.TestCase):
-    """Start of a role."""
+    """The start of a role."""
 
     def test_listening_means_connectable(self):
-        """Callers can connect when the role is told so."""
+        """Callers can connect when ``listening`` is called."""
         ports = Ports()
         self.addCleanup(ports.close)
         address = ports.give()
@@ -61,7 +61,7 @@
         self.assertTrue(role.connected)
 
     def test_no_name_lookup(self):
-        """A server is named by its address; no other greenlet runs."""
+        """A server starts without a name lookup, so no greenlet runs."""
         turns = []
         gevent.spawn(turns.append, 1)
         server = Server(('127.0.0.1', 0), None, 5)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""Start settings are checked in full before anything listens."""
+"""Start settings are validated completely before the start."""
 
 import io
 import re
@@ -22,10 +22,10 @@
 from standins.local_fleet import DEMO
 
 ROOT = Path(__file__).parent.parent
-# Libraries of other roles, that a start on the platform does without.
+# Libraries of other roles that an entry on the platform does not load.
 NEEDLESS = frozenset(('pydantic', 'typer', 'click', 'multipart'))
-# A request that is cut by the end of a process which was told to stop
-# longer ago than this, in seconds, counts as lost.
+# Seconds after the stop signal up to which requests may be accepted: one
+# that is accepted later and interrupted by the process exit counts as lost.
 LAST_TAKEN_S = 3.0
 DIRECT_ENTRY = {
     'listen': '127.0.0.1:1',
@@ -67,7 +67,7 @@
 
 
 class TestStopInTime(unittest.TestCase):
-    """A process has ended before the platform kills it."""
+    """A process exits before the platform kills it."""
 
     @params(
         (8, 2.7, 4.5, 4.5),
@@ -76,7 +76,7 @@
         (2, 2.7, 4.5, 0),
     )
     def test_drain_is_bounded(self, grace_s, delay_s, drain_s, expected):
-        """Requests in work get what the delay leaves of the grace."""
+        """Requests in flight get the grace that the readiness delay leaves."""
         cfg = DirectEntrySettings.made_of(
             **DIRECT_ENTRY,
             grace_s=grace_s,
@@ -86,9 +86,10 @@
         self.assertAlmostEqual(expected, cfg.drain_s)
 
     def test_last_request_taken(self):
-        """As deployed, none is taken later than 3 s after the signal.
+        """As deployed, no request is accepted later than 3 s after the signal.
 
-        One that the end of the process cuts has then had its time.
+        A request that the process exit interrupts was then in flight for
+        long enough not to count as lost.
         """
         text = (ROOT / 'deploy' / 'entry.yaml').read_text()
         found = re.search(r'^readiness_delay_s: (\S+)$', text, re.MULTILINE)
@@ -96,11 +97,11 @@
 
 
 class TestStartup(unittest.TestCase):
-    """``cactusridged check`` and what it says."""
+    """The command ``cactusridged check`` and its output."""
 
     @params('entry', 'sidecar')
     def test_the_demo_is_good(self, role):
-        """The committed files pass."""
+        """The settings files of the demo are valid."""
         path = str(DEMO / f'{role}.yaml')
         status, out, _ = run('check', path)
         self.assertEqual(ExitStatus.success, status)
@@ -108,7 +109,7 @@
 
     @params(*MISTAKES)
     def test_every_mistake_is_named(self, text, places):
-        """All mistakes come at once, each with file and place."""
+        """All mistakes are listed at once, each with its file and place."""
         good = yaml.safe_load((DEMO / 'entry.yaml').read_text())
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'bad.yaml'
@@ -124,10 +125,10 @@
                 self.assertEqual(len(places), err.count('bad.yaml:'))
 
     def test_modules_of_a_start(self):
-        """An entry on the platform loads none that it has no use for.
+        """An entry on the platform loads no library that it does not use.
 
-        Of its 0.65 s of processor time on this host, loading the first
-        took 0.15 s; a start is time in which callers find nobody.
+        Loading pydantic takes 0.15 s of the 0.65 s of processor time of a
+        start, during which callers are not served.
         """
         code = (
             'import sys, cactusridge.platform.__main__;'
@@ -145,7 +146,7 @@
         self.assertEqual(set(), loaded & NEEDLESS)
 
     def test_missing_file(self):
-        """A file that is not there is a mistake like any other."""
+        """A missing file is reported as bad settings."""
         self.assertEqual(
             ExitStatus.bad_settings,
             run('check', '/no/such/file')[0],
@@ -166,7 +167,7 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_anything_is_judged(self, raw):
-        """Whatever stands in the file, the answer is a list of mistakes."""
+        """Any invalid content results in a list of mistakes with places."""
         with self.assertRaises(BadStartSettings) as caught:
             check('file', raw, 'entry')
         for mistake in caught.exception.exceptions:
--- a/tests/test_work_meter.py
+++ b/tests/test_work_meter.py
@@ -1,4 +1,4 @@
-"""Processor time by part, and its reports."""
+"""Tests of the processor time by part and of its reports."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class Ticks:
-    """A clock that has gone on by a second at every look."""
+    """A clock that advances by a second at every read."""
 
     def __init__(self):
         """Start at 0."""
@@ -27,21 +27,21 @@
 
 
 class TestWorkMeter(unittest.TestCase):
-    """Booking by switches between greenlets."""
+    """The meter adds up time at each switch between greenlets."""
 
     def setUp(self):
-        """Have a meter whose every switch takes a second."""
+        """Create a meter for which each switch takes a second."""
         self.meter = WorkMeter(Ticks())
         self.addCleanup(self.meter.stop)
 
     def measure(self, *parts):
-        """Run a greenlet of each of ``parts``, with a pause."""
+        """Run a greenlet that sleeps once for each of ``parts``."""
         self.meter.start()
         gevent.joinall([spawn(part, gevent.sleep, 0) for part in parts])
         self.meter.stop()
 
     def test_parts(self):
-        """Each part has its turns; the time between them is its own."""
+        """Switches and seconds are counted for the part that ran."""
         self.measure(Part.feeds, Part.items, Part.items)
         parts = self.meter.parts
         turns = [parts[part].turns for part in (Part.feeds, Part.items)]
@@ -50,12 +50,12 @@
         self.assertEqual(0, parts[Part.claims].turns)
 
     def test_loop(self):
-        """The loop's own turns are told from greenlets without a part."""
+        """Switches to the event loop are counted as the part ``loop``."""
         self.measure(Part.feeds)
         self.assertGreaterEqual(self.meter.parts[Part.loop].turns, 2)
 
     def test_report(self):
-        """A report has what is new, in the log and in the metrics."""
+        """A report has the increase, in the log and in the metrics."""
         captured = LogCapture()
         self.addCleanup(structlog.configure, **structlog.get_config())
         structlog.configure(
