--- a/tests/discovery_case.py
+++ b/tests/discovery_case.py
@@ -1,4 +1,4 @@
-"""A test case over a list of replicas that is fed by hand."""
+"""A test case for the replica list with manually added rows."""
 
 import operator
 import unittest
@@ -26,12 +26,12 @@
     'sequence': 0,
     'born': BORN,
 }
-# As the platform's entries were before they told when a life began.
+# A row of an older platform version, without the start time.
 UNTOLD = {name: held for name, held in ENTRY.items() if name != 'born'}
 
 
 def row_of(raw: bytes, key: str, version: int) -> Row:
-    """Return the row with ``raw`` as its value, as the reader of rows does."""
+    """Return the row that the table reader makes of the value ``raw``."""
     try:
         held = wire.decode(raw)
     except BadRequest:
@@ -40,10 +40,10 @@
 
 
 class DiscoveryCase(unittest.TestCase):
-    """A list of replicas that is fed by hand."""
+    """A replica list with a manual clock and recorded events."""
 
     def setUp(self):
-        """Know two replicas."""
+        """Create a replica list; record its events and timers."""
         self.clock = ManualClock()
         self.fleet = FleetView()
         self.list = Discovery(self.fleet, self.clock)
@@ -58,15 +58,15 @@
             self.addCleanup(patch.stop)
 
     def note(self, event, **fields):
-        """Keep an event."""
+        """Record an event."""
         self.events.append((event, fields))
 
     def spawn_later(self, wait_s, call):
-        """Keep a call that is due later."""
+        """Record a call that is due in ``wait_s`` seconds."""
         self.timers.append((self.clock.monotonic() + wait_s, call))
 
     def advance(self, passed_s):
-        """Let time pass; make the calls that are due, in order."""
+        """Advance the clock; run the calls that become due, in order."""
         until = self.clock.monotonic() + passed_s
         while min((at for at, _ in self.timers), default=until + 1) <= until:
             self.timers.sort(key=operator.itemgetter(0))
@@ -76,15 +76,15 @@
         self.clock.now = until
 
     def logged(self, event):
-        """Return how often an event was logged."""
+        """Return the number of times that ``event`` was logged."""
         return sum(each == event for each, _ in self.events)
 
     def back(self):
-        """Let the store be back after an outage, this very moment."""
+        """Notify the list of the end of a store outage."""
         self.list.regained(self.clock.monotonic())
 
     def put(self, replica_id, entry, **changes):
-        """Let the list hold an entry; return its row."""
+        """Put a row of a replica into the list and return it."""
         self.version += 1
         raw = wire.encode({**entry, **changes})
         row = row_of(raw, f'{PREFIX}{replica_id}', self.version)
@@ -92,12 +92,12 @@
         return row
 
     def remove(self, replica_id):
-        """Let the list hold an entry no more."""
+        """Remove the row of a replica from the list."""
         self.version += 1
         self.list.put(Row(f'{PREFIX}{replica_id}', None, self.version))
 
     def spoil(self, replica_id, how):
-        """Let another writer spoil an entry; return its row."""
+        """Put an invalid row of a replica into the list and return it."""
         self.version += 1
         raw = SPOILED[how](ENTRY)
         row = row_of(raw, f'{PREFIX}{replica_id}', self.version)
@@ -105,5 +105,5 @@
         return row
 
     def in_choice(self):
-        """Return the ids of the replicas that take new work."""
+        """Return the ids of the replicas that accept new work."""
         return {replica.id for replica in self.fleet.ready('model')}
--- a/tests/memory_objects.py
+++ b/tests/memory_objects.py
@@ -1,4 +1,4 @@
-"""An object store in memory, behind the same interface."""
+"""An in-memory implementation of the object store."""
 
 from cactusridge.errors import NotFound, StoreUnavailable
 from cactusridge.store.object_store import ObjectStore
@@ -6,7 +6,7 @@
 
 
 class MemoryObjects(ObjectStore):
-    """Keeps objects in a dict."""
+    """Keeps objects in a dict; the next ``failing`` reads fail."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -39,7 +39,7 @@
         self.stored.pop(name, None)
 
     def names(self, prefix: str, after: str = '') -> list[str]:
-        """Return names below ``prefix``."""
+        """Return the sorted names that start with ``prefix``."""
         return sorted(
             name
             for name in self.stored
--- a/tests/rig_calls.py
+++ b/tests/rig_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a fleet in one process, as callers and operators make them."""
+"""Calls of callers and operators to a fleet in one process."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class RigCalls:
-    """Sends calls to entries; remembers what was said not to have run."""
+    """Sends calls to entries and records replies that report no run."""
 
     http: Clients
     refusals: Refusals
@@ -24,20 +24,20 @@
     plain: Served
 
     def seed(self) -> None:
-        """Set the demo's teams and services."""
+        """Store the settings of the demo's teams and services."""
         nodes = yaml.safe_load((DEMO / 'settings.yaml').read_text())
         for path, raw in nodes.items():
             answer = self.set(path, raw, 0)
             assert answer.status == 200, answer
 
     def set(self, path: str, raw: Any, if_version: int) -> Answer:
-        """Set a path through the first entry."""
+        """Set the settings at ``path`` through the first entry."""
         message = {'raw': raw, 'if_version': if_version}
         url = f'/admin/settings{path}'
         return self.call(self.entries[0], url, message, ADMIN, 'PUT')
 
     def update(self, path: str, **fields: Any) -> Answer:
-        """Change some fields of what is set at a path."""
+        """Change ``fields`` of the settings at ``path``."""
         url = f'/admin/settings{path}'
         old = self.call(self.entries[0], url, None, ADMIN, 'GET').body
         raw = {**old['raw'], **fields}
@@ -51,7 +51,7 @@
         headers: Any = None,
         method: str = 'POST',
     ) -> Answer:
-        """Return status and body of one call."""
+        """Send one call and return its status and body."""
         raw = message if isinstance(message, bytes) else wire.encode(message)
         sent = {**TOKEN, **(headers or {})}
         with self.http.send(served.address, path, raw, sent, method) as resp:
@@ -63,7 +63,7 @@
         return answer
 
     def ran_though_refused(self) -> list[bytes]:
-        """Return requests said not to have run that the upstreams have."""
+        """Return requests that ran although a reply reported no run."""
         return self.refusals.ran(self.engines, self.plain.subject)
 
     def chat(
@@ -84,7 +84,7 @@
         return self.call(self.entries[entry], path, message, headers)
 
     def executions(self, text: str) -> list[dict[str, Any]]:
-        """Return what the engines began for prompts with ``text``."""
+        """Return the engines' executions of prompts with ``text``."""
         return [
             each
             for engine in self.engines
--- a/tests/scripted_link.py
+++ b/tests/scripted_link.py
@@ -1,4 +1,4 @@
-"""A link to the platform that gives prepared answers."""
+"""A link to the platform with scripted replies."""
 
 import base64
 import itertools
@@ -14,10 +14,10 @@
 
 
 class ScriptedLink:
-    """Answers each call with the next of its answers, then the last."""
+    """Returns the scripted replies in order; the last one repeats."""
 
     def __init__(self) -> None:
-        """Have no answers yet."""
+        """Start with no replies."""
         self.answers: list[PlatformAnswer] = []
         self.asked: list[str] = []
 
@@ -33,23 +33,23 @@
         return self.call(method, path, body, priority, headers)
 
     def say(self, message: Any, status: int = 200) -> None:
-        """Append an answer."""
+        """Append a reply with the JSON of ``message``."""
         answer = PlatformAnswer(status, wire.encode(message))
         self.answers.append(answer)
 
 
 def rows_over(link: ScriptedLink) -> PlatformRows:
-    """Return the platform's rows over ``link``."""
+    """Return a client of the platform's rows over ``link``."""
     return PlatformRows(link, link, StoreClock(ManualClock()))
 
 
 def packed(value: Any) -> str:
-    """Return a value as the store keeps it."""
+    """Return ``value`` in the store's encoding, base64 of JSON."""
     return base64.b64encode(wire.encode(value)).decode()
 
 
 def entry(number: int, table: str = 't') -> dict[str, Any]:
-    """Return a sound entry, the ``number``th of its table."""
+    """Return a valid entry, number ``number`` of its table."""
     return {
         'table': table,
         'part': '',
@@ -60,7 +60,7 @@
 
 
 def page(entries: Any, *, more: Any = False) -> dict[str, Any]:
-    """Return the body of an answer."""
+    """Return the body of a reply with ``entries``."""
     return {'rows': entries, 'ver': VERSION, 'now_ms': 5, 'has_more': more}
 
 
@@ -69,7 +69,7 @@
     return base64.b64encode(raw).decode()
 
 
-# What makes a value unreadable, by name; keys and versions stay.
+# Unreadable values by name; the entry has a valid key and version.
 SPOILT_VALUES = (
     ('not base64', '***'),
     ('base64 cut short', 'eyJhIjo'),
@@ -88,7 +88,7 @@
     ('true', True),
     ('missing', None),
 )
-# What takes an entry's place away.
+# Entries without a valid key, which do not identify a row.
 UNNAMED = (
     5,
     None,
@@ -103,10 +103,10 @@
 
 
 def spoilt(number: int, value: Any) -> dict[str, Any]:
-    """Return an entry with another value."""
+    """Return entry ``number`` with the invalid ``value``."""
     return {**entry(number), 'value': value}
 
 
 def first(count: int) -> list[dict[str, Any]]:
-    """Return the first sound entries."""
+    """Return the first ``count`` valid entries."""
     return list(itertools.starmap(entry, ((n,) for n in range(count))))
--- a/tests/scripted_watch.py
+++ b/tests/scripted_watch.py
@@ -1,4 +1,4 @@
-"""A watch that answers as it is told, and a listener that keeps rows."""
+"""A watch with scripted answers, and a listener that keeps rows."""
 
 from cactusridge.store.table import Row
 from cactusridge.store.table_follower import TableListener
@@ -6,22 +6,22 @@
 
 
 class ScriptedWatch(Watch):
-    """Answers as it is told, and keeps what it was asked."""
+    """Returns the configured rows or failures, and records its calls."""
 
     def __init__(self) -> None:
-        """Answer with nothing new at first."""
+        """Start with no rows and no failures."""
         self.rows: list[Row] = []
         self.failures: list[Exception] = []
         self.asked: list[str] = []
         self.version = 1
 
     def snapshot(self, prefixes):
-        """Return all rows."""
+        """Return the configured rows as a snapshot."""
         self.asked.append('all')
         return self._answer()
 
     def changes(self, table, after, wait_s):
-        """Return the rows as changes."""
+        """Return the configured rows as changes."""
         self.asked.append(f'after {after}')
         return self._answer()
 
@@ -32,10 +32,10 @@
 
 
 class Rows(TableListener):
-    """Keeps rows by key."""
+    """A listener that keeps rows by key."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no rows."""
         self.rows: dict[str, Row] = {}
 
     def put(self, row):
@@ -43,5 +43,5 @@
         self.rows[row.key] = row
 
     def keep_only(self, keys):
-        """Forget the others."""
+        """Remove the rows whose keys are not in ``keys``."""
         self.rows = {key: row for key, row in self.rows.items() if key in keys}
--- a/tests/served.py
+++ b/tests/served.py
@@ -1,4 +1,4 @@
-"""Things served on loopback, and what they answer."""
+"""Applications served on the loopback address, and their replies."""
 
 from typing import Any, NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class Served(NamedTuple):
-    """A thing and the server in front of it."""
+    """The subject of a test and the server that serves it."""
 
     subject: Any
     server: Server
@@ -19,14 +19,14 @@
 
 
 class Answer(NamedTuple):
-    """Status and JSON (or bytes) of a call."""
+    """The status of a reply and its decoded JSON, or its bytes."""
 
     status: int
     body: Any
 
 
 def serve(subject: Any, app: Any, address: Address) -> Served:
-    """Serve ``app`` at ``address``."""
+    """Start a server of ``app`` at ``address``."""
     server = Server(address, app, IDLE_S)
     server.start()
     return Served(subject, server, address)
@@ -38,5 +38,5 @@
         parts = wire.decode(raw)['messages']
         return ''.join(part['content'] for part in parts)
     except (BadRequest, KeyError, TypeError):
-        # It was no request at all; no upstream can have seen it.
+        # The body is not a chat request, so no upstream has received it.
         return raw.decode()
--- a/tests/spoilt_table.py
+++ b/tests/spoilt_table.py
@@ -1,4 +1,4 @@
-"""A table in which another writer leaves rows that cannot be read."""
+"""A table with unreadable or invalid rows of another writer."""
 
 import itertools
 from collections.abc import Iterator
@@ -7,20 +7,20 @@
 from cactusridge.store.table import PAGE
 from standins.memory_table import MemoryTable
 
-# In place of a field: wrong types, and numbers out of range.
+# Invalid values of a field: wrong types, and numbers out of range.
 ODD = (None, True, -1, 1.5, 'odd', [], {}, [None], {'a': []})
 
 
 class SpoiltTable(MemoryTable):
-    """Marks rows as unreadable; keeps their keys and versions."""
+    """A table that returns chosen rows as unreadable."""
 
     def __init__(self) -> None:
-        """Start with none of them."""
+        """Start with no unreadable rows."""
         super().__init__()
         self.unreadable: set[str] = set()
 
     def spoil(self, key: str, value: Any = None) -> None:
-        """Put ``value`` at ``key``, or bytes that cannot be read."""
+        """Store ``value`` at ``key``; None stores undecodable bytes."""
         self.store.apply([[key, {} if value is None else value]])
         if value is None:
             self.unreadable.add(key)
@@ -30,7 +30,7 @@
         return list(map(self._shown, super().read(keys, priority)))
 
     def scan(self, prefix, priority, after='', limit=PAGE):
-        """Return a page of rows below ``prefix``."""
+        """Return a page of rows whose keys start with ``prefix``."""
         found = super().scan(prefix, priority, after, limit)
         return list(map(self._shown, found))
 
@@ -44,10 +44,11 @@
     value: dict[str, Any],
     optional: tuple[str, ...] = (),
 ) -> Iterator[tuple[str, Any]]:
-    """Yield spoilt forms of ``value`` with their names.
+    """Yield names and invalid forms of ``value``.
 
-    First bytes that cannot be read, then each field in turn as each odd
-    thing that is not of its type; null stands for a missing one.
+    The first form is undecodable bytes, given as None, the second an empty
+    object. In each further form one field has an invalid value; null means
+    a missing field, which is valid for the ``optional`` ones.
     """
     yield 'bytes', None
     yield 'empty', {}
@@ -58,5 +59,5 @@
 
 
 def is_odd(odd: Any, good: Any) -> bool:
-    """Tell whether ``odd`` is no value of the type of ``good``."""
+    """Return whether ``odd`` is not a valid value in place of ``good``."""
     return odd == -1 or odd.__class__ is not good.__class__
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, and what is said is true."""
+"""A non-idempotent request runs at most once and is reported truly."""
 
 from nose2.tools import params
 
@@ -18,10 +18,10 @@
 
 
 class TestAtMostOnce(RigCase):
-    """Connections break at each point of a call that may not repeat."""
+    """Connections break at each point of a non-idempotent call."""
 
     def runs(self, body: str) -> int:
-        """Return how often the service carried out this body."""
+        """Return how often the service executed a request with ``body``."""
         calls = self.rig.plain.subject.calls
         return sum(call['body'] == f'"{body}"' for call in calls)
 
@@ -32,7 +32,7 @@
 
     @params(*BREAKS)
     def test_service_breaks_off(self, kind, status, runs, not_run):
-        """The service cuts the call before or after carrying it out."""
+        """The service closes the connection before or after the run."""
         self.rig.plain.subject.faults.add(Fault(kind, '/registers', 1))
         answer = self.rig.call(self.rig.entries[0], REGISTERS, 'b')
         self.assertEqual(status, answer.status)
@@ -40,7 +40,7 @@
         self.assertEqual(runs, self.runs('b'))
 
     def test_repeatable_call_goes_again(self):
-        """The same break is mended where the route may be repeated."""
+        """A repeatable call is retried after the same failure."""
         cut = Fault(FaultKind.lose_answer, 'GET', 1)
         self.rig.plain.subject.faults.add(cut)
         path = '/services/defter/pages/1'
@@ -53,7 +53,7 @@
         self.assertEqual((200, 2), (answer.status, self.runs('c')))
 
     def test_link_refuses(self):
-        """An order that never reached a sidecar goes to another."""
+        """An order that did not reach a sidecar is sent to another."""
         for link in self.rig.links(self.rig.sidecars[0].address):
             link.stop()
         answers = [
@@ -65,7 +65,7 @@
         self.assertEqual({1}, set(runs))
 
     def test_answer_lost_between_sidecar_and_entry(self):
-        """The sidecar says that it ran, and the refusal says so too."""
+        """The sidecar reports that the order ran, and so does the error."""
         self.only_first_sidecar()
         slow = Fault(FaultKind.slow, '/registers', 1, 0.6)
         self.rig.plain.subject.faults.add(slow)
@@ -77,13 +77,13 @@
         self.assertEqual(1, self.runs('e'))
 
     def test_order_lost_on_its_way(self):
-        """An order that went silent is given up and never runs late."""
+        """An order lost on a silent connection is retried and runs once."""
         links = [
             link
             for sidecar in self.rig.sidecars
             for link in self.rig.links(sidecar.address)
         ]
-        # Warm connections first: only open ones go silent.
+        # Open the connections first: only open ones can become silent.
         self.rig.call(self.rig.entries[0], REGISTERS, 'warm')
         for link in links:
             link.silence()
@@ -92,7 +92,7 @@
         self.assertEqual(1, self.runs('f'))
 
     def test_sidecar_restarts_meanwhile(self):
-        """A new incarnation cannot know, so the outcome is unknown."""
+        """A new incarnation has no record, so the outcome is unknown."""
         self.only_first_sidecar()
         slow = Fault(FaultKind.slow, '/registers', 1, 1)
         self.rig.plain.subject.faults.add(slow)
@@ -103,7 +103,7 @@
         self.assertLessEqual(self.runs('g'), 1)
 
     def test_late_order_is_refused(self):
-        """An order written for the sidecar before never runs."""
+        """An order for the sidecar's previous incarnation never runs."""
         served = self.rig.sidecars[0]
         order = RunOrder(
             id='late',
@@ -123,7 +123,7 @@
         self.assertEqual(0, self.runs('late'))
 
     def test_restart_is_noticed_at_once(self):
-        """A refusal for the incarnation tells the new one."""
+        """A rejection reports the new incarnation, and the order is retried."""
         for served in self.rig.sidecars:
             served.subject.incarnation = 'new'
         answer = self.rig.call(self.rig.entries[0], REGISTERS, 'h')
@@ -131,6 +131,6 @@
         self.assertEqual(1, self.runs('h'))
 
     def only_first_sidecar(self) -> None:
-        """Let entries know one sidecar only."""
+        """Remove all sidecars but the first."""
         self.rig.leave_only(0)
         self.rig.wait_ready()
--- a/tests/test_catalog_peers.py
+++ b/tests/test_catalog_peers.py
@@ -1,4 +1,4 @@
-"""A configuration that only a peer has heard of."""
+"""An entry fetches a newer configuration from a peer."""
 
 import unittest
 
@@ -16,10 +16,10 @@
 
 
 class TestCatalogPeers(unittest.TestCase):
-    """The newest version that a peer names is fetched from it."""
+    """The newest version that a peer announces is fetched from it."""
 
     def setUp(self):
-        """Serve the configuration of a peer that has version 7."""
+        """Serve the configuration of a peer, which has version 7."""
         holder = CatalogHolder(KeyLease(ManualClock(), None))
         holder.take(NEWER)
         served = CatalogPeers(holder)
@@ -32,12 +32,12 @@
         self.catalogs = CatalogPeers(self.holder)
 
     def test_newer_is_fetched(self):
-        """An entry that the store turns away gets version 7."""
+        """An entry with an older version gets version 7 from the peer."""
         self.catalogs.heard(self.peer, 7)
         wait_for('version 7', lambda: self.holder.catalog.version == 7)
 
     def test_older_is_not(self):
-        """A peer that is behind is not asked."""
+        """An older version is not fetched from a peer."""
         self.holder.take({**NEWER, 'version': 9})
         self.catalogs.heard(self.peer, 7)
         gevent.sleep(0.5)
--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -1,4 +1,4 @@
-"""Accepted items complete exactly once, whoever is lost."""
+"""Accepted items complete exactly once, whichever process fails."""
 
 from nose2.tools import params
 
@@ -22,7 +22,7 @@
 
 
 class TestExactlyOnce(RigCase):
-    """Hosts are lost with items in flight."""
+    """Processes and replies are lost while items are in flight."""
 
     def test_undisturbed(self):
         """A job completes with one result for each item."""
@@ -32,14 +32,14 @@
         self.check_exactly_once(job, ITEMS)
 
     def test_entry_lost_after_acceptance(self):
-        """The entry is lost right after its answer."""
+        """The entry fails right after it has accepted the job."""
         job = self.submit([f'p{number}' for number in range(ITEMS)])
         self.rig.kill_entry(self.rig.entries[0])
         self.wait_state(job, 'completed')
         self.check_exactly_once(job, ITEMS)
 
     def test_holder_lost_with_items_in_flight(self):
-        """The holder is lost; another takes its spans over."""
+        """The lease holder fails, and another entry takes over its spans."""
         job = self.submit(
             [f'p{number}' for number in range(ITEMS)],
             tokens=30,
@@ -49,7 +49,7 @@
         self.check_exactly_once(job, ITEMS)
 
     def test_every_entry_lost(self):
-        """New entries at other addresses go on."""
+        """All entries fail, and a new one completes the job."""
         job = self.submit(
             [f'p{number}' for number in range(ITEMS)],
             tokens=30,
@@ -62,7 +62,7 @@
         self.check_exactly_once(job, ITEMS)
 
     def test_sidecar_and_engine_lost(self):
-        """A sidecar and the other's engine streams are lost at once."""
+        """A sidecar fails together with the other sidecar's engine."""
         job = self.submit(
             [f'p{number}' for number in range(ITEMS)],
             tokens=30,
@@ -89,7 +89,7 @@
 
     @params(*LOST_ANSWERS)
     def test_lost_answers(self, kind, match):
-        """Answers are lost after the write took effect; nothing doubles."""
+        """Replies are lost after writes took effect; no item runs twice."""
         lost = Fault(FaultKind.lose_answer, match, 8)
         self.rig.platform.faults.add(lost)
         job = self.submit([f'p{number}' for number in range(ITEMS)])
@@ -98,7 +98,7 @@
         self.check_exactly_once(job, ITEMS)
 
     def test_stale_holder_cannot_commit(self):
-        """A commit on an old version of the row is refused."""
+        """A commit with an old version of the row is rejected."""
         table = self.rig.entries[0].subject.parts.table
         job = self.submit(['p'], tokens=400)
         self.entry_holding(job)
--- a/tests/test_machine_store.py
+++ b/tests/test_machine_store.py
@@ -1,4 +1,4 @@
-"""The machines' store stand-in: what it says of its own transactions."""
+"""The store simulator of the machines returns its own versions."""
 
 import json
 import unittest
@@ -15,10 +15,10 @@
 
 
 class TestMachineStore(unittest.TestCase):
-    """Its answers are those of one moment."""
+    """Each reply has the version of its own transaction."""
 
     def setUp(self):
-        """Serve it."""
+        """Serve a store."""
         self.store = MachineStore()
         ports = Ports()
         self.addCleanup(ports.close)
@@ -28,7 +28,7 @@
         self.addCleanup(server.stop, 0)
 
     def write(self, key: str) -> list[bool]:
-        """Write a row again and again; tell whether each answer was true."""
+        """Write a row repeatedly; return whether each version was right."""
         conn = HTTPConnection(*self.address, timeout=10)
         found = []
         for _ in range(ROUNDS):
@@ -41,7 +41,7 @@
         return found
 
     def test_version_of_a_transaction(self):
-        """A write's answer has its own version, whoever writes meanwhile."""
+        """A write's reply has its own version despite concurrent writes."""
         writers = [
             gevent.spawn(self.write, f'k{number}') for number in range(WRITERS)
         ]
--- a/tests/test_platform_rows.py
+++ b/tests/test_platform_rows.py
@@ -1,4 +1,4 @@
-"""Rows that cannot be read cost themselves alone."""
+"""An unreadable row does not affect other rows."""
 
 import json
 import unittest
@@ -28,7 +28,7 @@
 )
 
 REPORT = Priority.report
-# Wrong answers as a whole: their rows cannot be told.
+# Replies that are invalid as a whole, so that no row can be read.
 SPOILT_FRAMES = (
     b'garbled',
     b'[]',
@@ -46,15 +46,15 @@
 
 
 class RowsCase(unittest.TestCase):
-    """The platform's rows over prepared answers."""
+    """The client of the platform's rows, with scripted replies."""
 
     def setUp(self):
-        """Prepare none."""
+        """Create the client without replies."""
         self.link = ScriptedLink()
         self.rows = rows_over(self.link)
 
     def read_all(self, message):
-        """Return the rows of an answer by each way to read rows."""
+        """Yield the rows of a reply for each method that returns rows."""
         self.link.say(message)
         yield 'scan', self.rows.scan('t//', REPORT)
         yield 'snapshot', self.rows.snapshot(['t//']).rows
@@ -67,11 +67,11 @@
 
 
 class TestSpoiltRows(RowsCase):
-    """One spoilt row among sound ones, by each way to read rows."""
+    """An invalid row among valid ones, for each way to read rows."""
 
     @params(*SPOILT_VALUES)
     def test_value(self, name, value):
-        """The others are read; the spoilt one is told, with its version."""
+        """An invalid value makes its row unreadable; others are read."""
         message = page([entry(0), spoilt(1, value), entry(2)])
         wanted = [
             Row('t//k00000', {'n': 0}, 1),
@@ -84,14 +84,14 @@
 
     @params(*SPOILT_VALUES)
     def test_single_read(self, name, value):
-        """A row that is read alone is never absent because it is spoilt."""
+        """A single invalid row is unreadable, not absent."""
         self.link.say(page([spoilt(0, value)]))
         found = self.rows.read(['t//k00000'], REPORT)
         self.assertEqual([Row('t//k00000', None, 1, unreadable=True)], found)
 
     @params('5', None, -1, True, 1.5, [])
     def test_version(self, version):
-        """A row without a version is unreadable, whatever its value."""
+        """A row without a valid version is unreadable."""
         message = page([entry(0), {**entry(1), 'ver': version}, entry(2)])
         for way, found in self.read_all(message):
             with self.subTest(way):
@@ -103,14 +103,14 @@
 
     @params('yes', 5, [], {})
     def test_mark_of_removal(self, mark):
-        """What may or may not be removed is not taken for removed."""
+        """A row with an invalid ``deleted`` is unreadable, not deleted."""
         message = page([{**entry(0), 'deleted': mark}])
         for way, found in self.read_all(message):
             with self.subTest(way):
                 self.assertTrue(found[0].unreadable)
 
     def test_removed(self):
-        """A removed row is absent and readable."""
+        """A deleted row is absent, not unreadable."""
         gone = {**entry(0), 'deleted': True}
         gone.pop('value')
         self.link.say(page([gone]))
@@ -119,11 +119,11 @@
 
 
 class TestUnnamedRows(RowsCase):
-    """Entries that do not say which row they are."""
+    """Entries without a valid key."""
 
     @params(*((each,) for each in UNNAMED))
     def test_left_out(self, unnamed):
-        """The others are read, in order."""
+        """An entry without a key is skipped; others are read in order."""
         message = page([entry(0), unnamed, entry(1)])
         for way, found in self.read_all(message):
             with self.subTest(way):
@@ -132,13 +132,13 @@
 
     @params(*((each,) for each in UNNAMED))
     def test_single_read(self, unnamed):
-        """A row that is read alone is there, whatever its entry says."""
+        """A row whose entry lacks a key is unreadable, not absent."""
         self.link.say(page([unnamed]))
         found = self.rows.read(['t//k00000'], REPORT)
         self.assertEqual([Row('t//k00000', None, 0, unreadable=True)], found)
 
     def test_told_once(self):
-        """An entry that is read again and again is logged once."""
+        """An entry without a key is logged once, however often it is read."""
         self.link.say(page([entry(0), 5]))
         with emitted() as found:
             for _ in range(9):
@@ -146,7 +146,7 @@
         self.assertEqual([events.ROW_UNNAMED], found)
 
     def test_page_of_one(self):
-        """A page that holds nothing else does not stop a reading."""
+        """A page with only an invalid entry does not end a scan."""
         self.link.say(page([entry(0), 5], more=True))
         self.link.say(page([5], more=True))
         self.link.say(page([5, entry(1), entry(2)]))
@@ -155,18 +155,18 @@
         self.assertEqual(['t//k00000', 't//k00001'], keys)
 
     def test_full_page(self):
-        """A reading that cannot go on says so."""
+        """A snapshot that cannot continue raises StoreUnavailable."""
         self.link.say(page([5], more=True))
         with self.assertRaises(StoreUnavailable):
             self.rows.snapshot(['t//'])
 
 
 class TestSpoiltAnswers(RowsCase):
-    """Answers whose frame cannot be read tell nothing."""
+    """Replies that are invalid as a whole."""
 
     @params(*SPOILT_FRAMES)
     def test_read(self, raw):
-        """A read fails as if there were no answer."""
+        """A read of an invalid reply raises StoreUnavailable."""
         self.link.answers = [scripted_link.PlatformAnswer(200, raw)]
         for read in (
             lambda: self.rows.scan('t//', REPORT),
@@ -178,20 +178,20 @@
 
     @params(*SPOILT_FRAMES[:9])
     def test_changes(self, raw):
-        """So does a watch."""
+        """A watch with an invalid reply raises StoreUnavailable."""
         self.link.answers = [scripted_link.PlatformAnswer(200, raw)]
         with self.assertRaises(StoreUnavailable):
             self.rows.changes('t', 0, 1)
 
     @params((200, b'{}'), (200, b'{"ver":"x"}'), (412, b'{"rows":5}'))
     def test_write(self, status, raw):
-        """What became of a write is unknown."""
+        """A write with an invalid reply raises WriteUnknown."""
         self.link.answers = [scripted_link.PlatformAnswer(status, raw)]
         with self.assertRaises(WriteUnknown):
             self.rows.transact([], [], REPORT)
 
     def test_no_time(self):
-        """An answer without the store's time does not set its clock."""
+        """A reply without the store's time does not set the clock."""
         message = page([entry(0)])
         self.link.say(message)
         self.rows.scan('t//', REPORT)
@@ -202,7 +202,7 @@
         self.assertEqual(5, self.rows._store_clock.now_ms())
 
     def test_all_are_typed(self):
-        """Whatever an entry holds, no other failure comes out."""
+        """An invalid entry raises no error but those of this project."""
         odd = (None, True, -1, 1 << 80, 1.5, '', '\0', [], {}, packed({}))
         for field in entry(0):
             for value in odd:
--- a/tests/test_row_property.py
+++ b/tests/test_row_property.py
@@ -1,6 +1,6 @@
-"""Whatever is among them, sound rows are read unchanged and in order.
+"""Valid rows are read unchanged and in order, among any invalid rows.
 
-``CACTUSRIDGE_ROW_EXAMPLES`` sets how many lists are drawn.
+``CACTUSRIDGE_ROW_EXAMPLES`` sets the number of generated lists.
 """
 
 import os
@@ -45,7 +45,7 @@
 
 
 def is_object(raw: bytes) -> bool:
-    """Tell whether bytes are the JSON of an object."""
+    """Return whether ``raw`` is the JSON of an object."""
     try:
         return isinstance(wire.decode(raw), dict)
     except Exception:
@@ -67,7 +67,7 @@
 
 
 class TestRowProperty(unittest.TestCase):
-    """Lists of sound and spoilt rows."""
+    """Generated lists of valid and invalid rows."""
 
     @settings(
         max_examples=EXAMPLES,
@@ -78,7 +78,7 @@
     )
     @given(st.lists(kinds, max_size=MOST_ROWS))
     def test_read(self, drawn):
-        """Values of sound rows, versions of all, nothing of the spoilt."""
+        """Invalid rows have a version but no value; valid rows have both."""
         entries, wanted = [], []
         for number, (kind, value) in enumerate(drawn):
             if kind == 'unnamed':
--- a/tests/test_spoilt_settings.py
+++ b/tests/test_spoilt_settings.py
@@ -1,4 +1,4 @@
-"""A spoilt configuration leaves the last good one in force."""
+"""An invalid configuration leaves the last valid one in force."""
 
 import unittest
 
@@ -78,16 +78,16 @@
 
 
 class TestSpoiltSettings(unittest.TestCase):
-    """Configurations that another writer left in the store."""
+    """Invalid configurations of another writer in the store."""
 
     def setUp(self):
-        """Have a good one in force."""
+        """Apply a valid configuration."""
         self.holder = CatalogHolder(KeyLease(ManualClock(), None))
         self.holder.put(Row(KEY, GOOD, 1))
 
     @params(*((raw,) for raw in SPOILT))
     def test_last_good(self, raw):
-        """It is told once a version; the next good one is taken."""
+        """Each invalid version is logged once; the next valid one applies."""
         with emitted() as found:
             for _ in range(3):
                 self.holder.put(Row(KEY, raw, 2))
@@ -98,7 +98,7 @@
         self.assertEqual(9, self.holder.catalog.version)
 
     def test_bytes(self):
-        """So are bytes that cannot be decoded."""
+        """Undecodable bytes are logged once and leave the last one."""
         with emitted() as found:
             for _ in range(3):
                 self.holder.put(Row(KEY, None, 2, unreadable=True))
@@ -106,7 +106,7 @@
         self.assertEqual(4, self.holder.catalog.version)
 
     def test_null_is_missing(self):
-        """An optional field that is null has its usual value."""
+        """An optional field that is null has its default value."""
         raw = with_route(max_attempts=None, priority=None, resumable=None)
         self.holder.put(Row(KEY, raw, 2))
         self.assertEqual(7, self.holder.catalog.version)
@@ -114,7 +114,7 @@
 
     @params(5, [], None, 'text', {'version': 'x'}, SPOILT[-2])
     def test_from_peer(self, raw):
-        """What a peer has and cannot be read is not taken either."""
+        """An invalid configuration of a peer is not applied."""
         asked = []
 
         def serve(req):
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -1,4 +1,4 @@
-"""Strikes in the store."""
+"""Tests of sharing strikes through the store."""
 
 import unittest
 
@@ -25,10 +25,10 @@
 
 
 class Entry:
-    """Suspects of an entry over a table."""
+    """The suspects of an entry, stored in a table."""
 
     def __init__(self, table: MemoryTable, clock: ManualClock) -> None:
-        """Write as soon as there is something."""
+        """Start writing strikes to ``table`` in the background."""
         self.suspects = Suspects(ByCrashes(), clock)
         self._table = table
         self.store = StrikeStore(table, PREFIX, self.suspects, clock, LEAST)
@@ -36,20 +36,20 @@
         self.writer = gevent.spawn(keep_doing, self.store.step)
 
     def read(self) -> None:
-        """Take in what is stored."""
+        """Read the stored strikes."""
         rows = self._table.scan(PREFIX, Priority.commit)
         self.store.keep_only({row.key for row in rows})
         for row in rows:
             self.store.put(row)
 
     def crash(self, lives: str) -> None:
-        """Let replicas break off under a request."""
+        """Record a crash of each of ``lives`` under the request ``a``."""
         for life in lives:
             self.suspects.crashed('a', life, Stage.begun)
 
 
 class TestStrikeStore(unittest.TestCase):
-    """Entries over one table."""
+    """Entries that share one table."""
 
     def setUp(self):
         """Start one entry."""
@@ -68,18 +68,18 @@
         return self.table.scan(PREFIX, Priority.commit)
 
     def wait_rows(self, count: int) -> None:
-        """Wait until so many strikes are stored."""
+        """Wait until ``count`` strikes are stored."""
         wait_for(f'{count} rows', lambda: len(self.rows()) == count, 3)
 
     @params(('1', 0), ('12', 2), ('1234', 4))
     def test_stored(self, lives, count):
-        """One strike alone is not stored; a second brings the first."""
+        """A single strike is not stored; a second one stores both."""
         self.one.crash(lives)
         gevent.sleep(0.05)
         self.wait_rows(count)
 
     def test_entry_that_starts_later(self):
-        """It holds back what the others do."""
+        """An entry that starts later quarantines the same requests."""
         self.one.crash('123')
         self.wait_rows(3)
         other = self.entry()
@@ -87,7 +87,7 @@
         self.assertTrue(other.suspects.is_held('a'))
 
     def test_taken_back(self):
-        """What an entry takes back counts at no other."""
+        """Strikes that one entry withdraws no longer count at others."""
         self.one.crash('123')
         self.wait_rows(3)
         other = self.entry()
@@ -99,7 +99,7 @@
         self.assertFalse(self.one.suspects.is_held('a'))
 
     def test_row_written_after_it_was_taken_back(self):
-        """A write that the store did late is undone."""
+        """A strike that is stored after its withdrawal is removed."""
         self.one.crash('12')
         self.wait_rows(2)
         late = self.rows()[0]
@@ -111,7 +111,7 @@
         self.wait_rows(0)
 
     def test_old_strikes_are_removed(self):
-        """By whoever reads them."""
+        """An entry that reads expired strikes removes them."""
         self.one.crash('12')
         self.wait_rows(2)
         self.clock.advance(STRIKE_LASTS_S)
@@ -120,7 +120,7 @@
 
     @params(FaultKind.down, FaultKind.cut, FaultKind.lose_answer)
     def test_outage(self, fault):
-        """What may not have been written is written again."""
+        """A write that failed or may have failed is retried."""
         self.table.faults.append(fault)
         self.one.crash('12')
         wait_for('written again', lambda: self.table.writes == 2, 3)
@@ -128,7 +128,7 @@
 
     @params({}, {'fingerprint': 'a', 'life': '1', 'stage': 'x', 'at': 0})
     def test_spoilt_row(self, raw):
-        """It is no strike, and the others count."""
+        """An invalid row is no strike, and other strikes still count."""
         with self.assertRaises(UnreadableRecord):
             self.one.store.put(Row(f'{PREFIX}x', raw, 1))
         self.one.crash('123')
@@ -136,22 +136,22 @@
 
 
 class Kept(TableListener):
-    """Keeps what it is told."""
+    """A listener that records its calls."""
 
     def __init__(self) -> None:
-        """Be told nothing yet."""
+        """Start with no calls."""
         self.told = []
 
     def put(self, row: Row) -> None:
-        """Keep the row's key."""
+        """Record the row's key."""
         self.told.append(row.key)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Keep the keys."""
+        """Record the keys."""
         self.told.append(keys)
 
     def regained(self, since: float) -> None:
-        """Keep the time."""
+        """Record the time."""
         self.told.append(since)
 
 
@@ -159,7 +159,7 @@
     """Two listeners of one table."""
 
     def test_each_hears_its_own(self):
-        """The first prefix that fits has a row; news go to all."""
+        """Each row goes to the first matching prefix; other calls to all."""
         inner, outer = Kept(), Kept()
         both = ListenersByPrefix({'t/a/': inner, 't/': outer})
         for key in ('t/a/1', 't/b/1', 'u/1'):
@@ -171,10 +171,10 @@
 
 
 class TestStrikeRow(unittest.TestCase):
-    """Long names."""
+    """Keys of stored strikes."""
 
     def test_key_is_bounded(self):
-        """The id of a replica may be as long as a key."""
+        """A key is short even if the incarnation's id is long."""
         table = MemoryTable()
         entry = Entry(table, ManualClock(1))
         self.addCleanup(entry.writer.kill)
