--- a/cactusridge/http/patience.py
+++ b/cactusridge/http/patience.py
@@ -61,7 +61,8 @@
                     super().connect(address)
             finally:
                 self.settimeout(timeout_s)
-        # Raises the error of a connection that ended as the timeout expired.
+        # Raises the error, if any, of a connect that ended just as the
+        # timeout expired.
         super().connect(address)
 
     def sendall(self, message: Any, flags: int = 0) -> None:
--- a/cactusridge/store/budget.py
+++ b/cactusridge/store/budget.py
@@ -4,6 +4,7 @@
 from cactusridge.store.table import Priority
 
 BURST_S = 2
+# The share of the bucket that a call leaves to each higher priority.
 RESERVE_SHARE = 0.12
 
 
@@ -11,7 +12,10 @@
     """A token bucket that reserves tokens for calls of higher priority."""
 
     def __init__(self, clock: Clock, calls_per_s: float) -> None:
-        """Allow ``calls_per_s`` on average, in bursts of up to two seconds."""
+        """Allow ``calls_per_s`` on average.
+
+        A burst may have as many calls as BURST_S seconds allow.
+        """
         self._clock = clock
         self._rate = calls_per_s
         self._capacity = calls_per_s * BURST_S
--- a/cactusridge/store/store_clock.py
+++ b/cactusridge/store/store_clock.py
@@ -2,7 +2,7 @@
 
 from cactusridge.clock import Clock
 
-MS_PER_S = 1000
+MS = 1000
 
 
 class StoreClock:
@@ -19,8 +19,8 @@
 
     def note(self, now_ms: float) -> None:
         """Record the store's time ``now_ms`` of a reply just received."""
-        self._offset_ms = now_ms - self._clock.monotonic() * MS_PER_S
+        self._offset_ms = now_ms - self._clock.monotonic() * MS
 
     def now_ms(self) -> int:
         """Return the store's time in milliseconds."""
-        return int(self._clock.monotonic() * MS_PER_S + self._offset_ms)
+        return int(self._clock.monotonic() * MS + self._offset_ms)
