--- a/cactusridge/store/store_clock.py
+++ b/cactusridge/store/store_clock.py
@@ -1,4 +1,4 @@
-"""The store's steady clock, as this process reckons it."""
+"""This process's estimate of the store's monotonic clock."""
 
 from cactusridge.clock import Clock
 
@@ -6,19 +6,19 @@
 
 
 class StoreClock:
-    """Tells the store's time from its answers and the time since.
+    """Computes the store's time from its last reply and the time since.
 
-    All entries reckon from one clock, so that the age of a job does not
-    depend on the time of day of the host that looks at it.
+    All entries use this one clock, so that the computed age of a job does
+    not depend on the wall clock of an entry's host.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Go on from the last answer by ``clock``."""
+        """Measure the time since the last reply by ``clock``."""
         self._clock = clock
         self._offset_ms = float(0)
 
     def note(self, now_ms: float) -> None:
-        """Take the time in an answer that has just come."""
+        """Record the store's time ``now_ms`` of a reply just received."""
         self._offset_ms = now_ms - self._clock.monotonic() * MS
 
     def now_ms(self) -> int:
