--- a/cactusridge/settings/__init__.py
+++ b/cactusridge/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The tree of settings that operators change."""
+"""The tree of settings that operators change at run time."""
--- a/cactusridge/settings/access.py
+++ b/cactusridge/settings/access.py
@@ -1,4 +1,4 @@
-"""Who a token belongs to and which paths it opens."""
+"""Authenticates API tokens and authorises access to settings paths."""
 
 import hmac
 from typing import NamedTuple
@@ -14,7 +14,10 @@
 
 
 class Caller(NamedTuple):
-    """The team a token belongs to; the administrator has none."""
+    """The authenticated owner of a token.
+
+    ``team`` is empty for the administrator.
+    """
 
     team: str
     role: TokenRole
@@ -22,27 +25,36 @@
 
 
 class AccessTable:
-    """Finds the caller behind a token; follows the settings tree."""
+    """Maps token hashes to callers and follows the settings tree."""
 
     def __init__(self, tree: SettingsTree, admin_sha256: str) -> None:
-        """Take teams from ``tree`` and one administrator's token hash."""
+        """Read team tokens from ``tree``.
+
+        ``admin_sha256`` is the SHA-256 of the administrator's token, in hex.
+        """
         self._tree = tree
         self._admin_sha256 = admin_sha256
         self._callers: dict[str, Caller] = {}
-        self._hashes: dict[str, tuple[str, ...]] = {}
+        self._hashes_by_team: dict[str, tuple[str, ...]] = {}
         tree.follow(self._on_change)
 
     def caller(self, authorization: str) -> Caller:
-        """Return the caller of an ``Authorization`` header."""
+        """Return the caller that an ``Authorization`` header identifies.
+
+        Raises Unauthorized if the token is missing or unknown.
+        """
         token = bearer_key(authorization)
         if token is None:
-            raise Unauthorized('send Authorization: Bearer TOKEN')
-        given = key_digest(token)
-        if hmac.compare_digest(given, self._admin_sha256):
+            raise Unauthorized(
+                'expected the header Authorization: Bearer TOKEN'
+            )
+        token_hash = key_digest(token)
+        if hmac.compare_digest(token_hash, self._admin_sha256):
             return Caller(ADMIN_TEAM, TokenRole.operator, admin=True)
-        # The index is by the hash, which a caller cannot steer byte by
-        # byte, so the look-up's timing says nothing about the token.
-        found = self._callers.get(given)
+        # Callers are indexed by token hash. A client cannot choose the
+        # hash byte by byte, so the timing of this lookup does not leak
+        # the token.
+        found = self._callers.get(token_hash)
         if found is None:
             raise Unauthorized('the token is unknown')
         return found
@@ -51,21 +63,23 @@
         node = paths.parse(path)
         if node.kind != NodeKind.team:
             return
-        for old in self._hashes.pop(node.team, ()):
+        for old in self._hashes_by_team.pop(node.team, ()):
             self._callers.pop(old, None)
         team = self._tree.model(path)
         if team is None:
             return
-        self._hashes[node.team] = tuple(token.sha256 for token in team.tokens)
+        self._hashes_by_team[node.team] = tuple(
+            token.sha256 for token in team.tokens
+        )
         for token in team.tokens:
             self._callers[token.sha256] = Caller(node.team, token.role)
 
 
 def check_operator(caller: Caller, team: str) -> None:
-    """Raise Forbidden unless ``caller`` may change the team's settings."""
+    """Raise Forbidden unless ``caller`` may operate on ``team``'s settings."""
     if caller.admin:
         return
     if caller.role != TokenRole.operator:
         raise Forbidden('this token may not change settings')
     if caller.team != team:
-        raise Forbidden(f'this token opens /teams/{caller.team} only')
+        raise Forbidden(f'this token gives access to /teams/{caller.team} only')
--- a/cactusridge/settings/follower.py
+++ b/cactusridge/settings/follower.py
@@ -1,4 +1,4 @@
-"""Keeps the settings in force equal to the store's, or to the peers'."""
+"""Keeps the settings tree up to date from the store or from peers."""
 
 import abc
 
@@ -8,19 +8,19 @@
 from cactusridge.settings.tree import Change, SettingsTree, Snapshot
 from cactusridge.store.unreadable import UnreadableRecord
 
-MAX_REPLAY = 2000
+MAX_REPLAYED_CHANGES = 2000
 
 
 class PeerSource(abc.ABC):
-    """Another process that may know newer settings."""
+    """A source of settings held by peer processes."""
 
     @abc.abstractmethod
     def changes_after(self, version: int) -> Snapshot | None:
-        """Return the peer's tree if newer than ``version``, else None."""
+        """Return a peer's tree if it is newer than ``version``, else None."""
 
 
 class SettingsFollower:
-    """Brings a tree up to date; never takes it back."""
+    """Updates a settings tree; its version never decreases."""
 
     def __init__(
         self,
@@ -28,41 +28,46 @@
         store: SettingsStore,
         peers: PeerSource,
     ) -> None:
-        """Follow ``store``, and ``peers`` when it does not answer."""
+        """Follow ``store``; use ``peers`` while the store is unavailable."""
         self.tree = tree
         self._store = store
         self._peers = peers
 
     def start(self) -> bool:
-        """Fill an empty tree; peers first, since they spare the store."""
-        self._from_peers()
+        """Load the initial settings; return whether any were found.
+
+        Peers are queried first to reduce the load on the store.
+        """
+        self._update_from_peers()
         self.step()
         return self.tree.version > 0
 
     def step(self) -> None:
-        """Take what is new, once."""
+        """Apply new settings once, from the store or else from peers."""
         try:
-            self._from_store()
+            self._update_from_store()
         except (StoreUnavailable, UnreadableRecord):
-            self._from_peers()
+            self._update_from_peers()
         metrics.SETTINGS_VERSION.set({}, self.tree.version)
 
-    def _from_store(self) -> None:
+    def _update_from_store(self) -> None:
         head = self._store.head()
         if not self.tree.version and head:
             self.tree.load(self._store.snapshot())
-        if head - self.tree.version > MAX_REPLAY:
+        if head - self.tree.version > MAX_REPLAYED_CHANGES:
             self.tree.load(self._store.snapshot())
         while self.tree.version < head:
-            if not self._apply(self._next(head)):
-                # A stale read may lack the newest; the next step has it.
+            if not self._apply(self._next_changes(head)):
+                # A stale read may not include the newest changes; the
+                # next step reads them.
                 return
 
-    def _next(self, head: int) -> list[Change]:
-        """Return the changes that follow, past one that cannot be read.
+    def _next_changes(self, head: int) -> list[Change]:
+        """Return the next changes after the tree's version, up to ``head``.
 
-        Without the nodes as they are now, that one would keep all later
-        changes from this process.
+        If the next change cannot be read, loads a snapshot of the current
+        nodes first. Otherwise that change would block all later changes
+        in this process.
         """
         try:
             return self._store.changes(self.tree.version + 1, head)
@@ -76,7 +81,7 @@
             logs.emit(events.SETTINGS_APPLIED, version=self.tree.version)
         return any(applied)
 
-    def _from_peers(self) -> None:
+    def _update_from_peers(self) -> None:
         try:
             snapshot = self._peers.changes_after(self.tree.version)
         except CactusridgeError:
--- a/cactusridge/settings/paths.py
+++ b/cactusridge/settings/paths.py
@@ -10,7 +10,7 @@
 
 
 class NodeKind(enum.StrEnum):
-    """What a node of the tree describes."""
+    """The kind of object that a node of the settings tree describes."""
 
     team = 'team'
     deployment = 'deployment'
@@ -36,7 +36,7 @@
 
 
 class NodePath(NamedTuple):
-    """A path, what it describes, and the names in it."""
+    """A parsed settings path: its kind and the names in it."""
 
     path: str
     kind: NodeKind
@@ -49,13 +49,13 @@
 
 
 def parse(path: str) -> NodePath:
-    """Return the parts of ``path``; raise BadRequest for no such kind."""
+    """Return the parsed ``path``; raise BadRequest if it is invalid."""
     for kind, pattern in PATTERNS:
         found = pattern.fullmatch(path)
         if found:
             return NodePath(path, kind, found.groups())
     raise BadRequest(
-        f'{path} is not a settings path; write /teams/TEAM,'
+        f'{path} is not a settings path; use /teams/TEAM,'
         ' /teams/TEAM/deployments/NAME, …/services/NAME or …/jobs/NAME',
         param='path',
     )
--- a/cactusridge/settings/rows.py
+++ b/cactusridge/settings/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the settings, checked when they are read."""
+"""Keys and parsers of the store rows that hold settings."""
 
 from typing import Any, Final, NamedTuple
 
@@ -15,9 +15,11 @@
 
 
 class NodeState(NamedTuple):
-    """The rows that a change is conditional on, and what they hold.
+    """The head row and a node's row, with their parsed contents.
 
-    ``version`` is the tree's; ``change`` last set the node, if any did.
+    A change to the node is conditional on the versions of both rows.
+    ``version`` is the version of the tree. ``change`` is the last change
+    of the node, or None if the node has never been set.
     """
 
     head: Row
@@ -27,41 +29,41 @@
 
     @property
     def node_version(self) -> int:
-        """Return the version that last set the node; 0 when none has."""
+        """Return the tree version that last set the node, or 0 if unset."""
         return self.change.version if self.change else 0
 
 
 def history_key(version: int) -> str:
-    """Return the key of the change that made ``version``."""
+    """Return the row key of the change that created ``version``."""
     return f'{HISTORY_PREFIX}{version:012}'
 
 
-def version_in(row: Row) -> int:
-    """Return the version that the head names; raise UnreadableField."""
+def parse_head_version(row: Row) -> int:
+    """Return the tree version in the head row; raise UnreadableField."""
     return Fields(row.value).whole('version')
 
 
-def node_in(row: Row) -> Change:
-    """Return the change that set a node; raise UnreadableField."""
-    change = _change_in(row)
+def parse_node_change(row: Row) -> Change:
+    """Return the change stored in a node's row; raise UnreadableField."""
+    change = _parse_change(row)
     if row.key != f'{NODE_PREFIX}{change.path}':
-        raise UnreadableField(f'it is of {change.path}')
+        raise UnreadableField(f'the row holds a change of {change.path}')
     return change
 
 
-def past_in(row: Row) -> Change:
-    """Return a change of the history; raise UnreadableField."""
-    change = _change_in(row)
+def parse_history_change(row: Row) -> Change:
+    """Return the change in a history row; raise UnreadableField."""
+    change = _parse_change(row)
     if row.key != history_key(change.version):
-        raise UnreadableField(f'it is of version {change.version}')
+        raise UnreadableField(f'the row holds version {change.version}')
     return change
 
 
-def _change_in(row: Row) -> Change:
+def _parse_change(row: Row) -> Change:
     fields = Fields(row.value)
     path = fields.text('path')
     raw = fields.mapping('raw', None)
-    _check(path, raw)
+    _validate(path, raw)
     return Change(
         fields.whole('version'),
         path,
@@ -72,8 +74,8 @@
     )
 
 
-def _check(path: str, raw: Any) -> None:
-    """Raise UnreadableField unless settings fit their path's schema."""
+def _validate(path: str, raw: Any) -> None:
+    """Raise UnreadableField unless ``raw`` fits the schema of ``path``."""
     try:
         kind = paths.parse(path).kind
         if raw is not None:
--- a/cactusridge/settings/schema.py
+++ b/cactusridge/settings/schema.py
@@ -1,4 +1,4 @@
-"""What operators may set at each kind of path; checked before acceptance."""
+"""Schemas of the settings at each kind of path."""
 
 import enum
 from collections.abc import Mapping
@@ -22,20 +22,23 @@
 
 
 class Strict(BaseModel):
-    """A model in which an unknown key is a mistake."""
+    """Base of settings models; unknown keys are rejected."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
 class TokenRole(enum.StrEnum):
-    """What a token may do."""
+    """The permissions of a token.
+
+    An operator may change settings; a caller may only send requests.
+    """
 
     operator = 'operator'
     caller = 'caller'
 
 
 class TokenSettings(Strict):
-    """A token, kept as the SHA-256 of its text."""
+    """A token, stored as the hex SHA-256 of its text."""
 
     sha256: str = Field(pattern=SHA256_HEX)
     role: TokenRole = TokenRole.caller
@@ -56,14 +59,17 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service."""
+    """The kind of upstream that a service has: a model or plain HTTP."""
 
     model = 'model'
     plain = 'plain'
 
 
 class ObjectiveSettings(Strict):
-    """What the service promises; the burn report measures against it."""
+    """Service level objectives, which the burn report measures.
+
+    Names ending in ``_s`` are in seconds; the others are shares of 1.
+    """
 
     first_token_s: Seconds = 0.64
     between_tokens_s: Seconds = 0.056
@@ -73,7 +79,7 @@
 
 
 class RouteSettings(Strict):
-    """Whether calls of a plain service may be repeated."""
+    """Whether matching calls of a plain service may be retried."""
 
     method: str = '*'
     prefix: str = '/'
@@ -81,7 +87,7 @@
 
 
 class ServiceSettings(Strict):
-    """An online service and how it is run."""
+    """Settings of an online service."""
 
     kind: ServiceKind = ServiceKind.model
     models: tuple[str, ...] = ()
@@ -98,7 +104,7 @@
 
 
 class JobSettings(Strict):
-    """A class of batch jobs: its service and when its jobs are due."""
+    """A class of batch jobs: its service and the due time of its jobs."""
 
     service: str = ''
     due_in_s: Seconds | None = None
@@ -117,7 +123,10 @@
 
 
 def validate(kind: NodeKind, raw: Any) -> Strict:
-    """Return the checked settings; raise InvalidSettings listing faults."""
+    """Return ``raw`` as settings of ``kind``.
+
+    Raises InvalidSettings with a message that lists every error.
+    """
     try:
         return MODELS[kind].model_validate(raw)
     except ValidationError as exc:
@@ -125,7 +134,7 @@
 
 
 def explain(exc: ValidationError) -> str:
-    """Return one line for each fault: where, what was expected."""
+    """Return all validation errors as one line of ``field: message``."""
     return '; '.join(
         f'{".".join(map(str, fault["loc"])) or "the document"}: {fault["msg"]}'
         for fault in exc.errors()
--- a/cactusridge/settings/store.py
+++ b/cactusridge/settings/store.py
@@ -1,4 +1,4 @@
-"""Settings in the platform's table: compare-and-set, history, reading."""
+"""Stores settings in the platform's table with compare-and-set."""
 
 import random
 from typing import Any
@@ -15,9 +15,9 @@
     NODE_PREFIX,
     NodeState,
     history_key,
-    node_in,
-    past_in,
-    version_in,
+    parse_head_version,
+    parse_history_change,
+    parse_node_change,
 )
 from cactusridge.settings.tree import Change, Snapshot
 from cactusridge.store.row_reader import RowReader
@@ -34,23 +34,23 @@
 )
 from cactusridge.store.unreadable import UnreadableRecord
 
-TRIES = 30
-PAUSE_S = 0.05
-MAX_PAUSE_S = 1
-CHANGES_A_READ = 200
+MAX_ATTEMPTS = 30
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1
+MAX_CHANGES_PER_READ = 200
 
 
 class SettingsConflict(Conflict):
-    """The path was changed by another since the version given."""
+    """The path was changed by someone else after the given version."""
 
     code = 'settings_conflict'
 
 
 class SettingsStore:
-    """Reads and changes the settings kept in the table."""
+    """Reads and changes the settings in the platform's table."""
 
     def __init__(self, table: Table, clock: Clock, rng: random.Random) -> None:
-        """Keep the settings in ``table``."""
+        """Store the settings in ``table``."""
         self._table = table
         self._clock = clock
         self._rng = rng
@@ -59,52 +59,58 @@
     def put(self, path: str, raw: Any, if_version: int, who: str) -> Change:
         """Set ``path`` if its version is ``if_version``; return the change.
 
-        ``raw`` None removes the node. Raises SettingsConflict with both
-        values when another operator was first.
+        A ``raw`` of None removes the node. Raises SettingsConflict, whose
+        message has both values, if another operator changed the path
+        first, and OutcomeUnknown if no attempt could be confirmed.
         """
         node_path = paths.parse(path)
         if raw is not None:
             schema.validate(node_path.kind, raw)
         write_id = new_id('w', self._clock)
         change = Change(0, path, raw, who, self._clock.wall(), write_id)
-        pause_s = PAUSE_S
-        sent = False
-        for _ in range(TRIES):
+        backoff_s = FIRST_BACKOFF_S
+        may_have_applied = False
+        for _ in range(MAX_ATTEMPTS):
             try:
-                return self._try(change, if_version)
+                return self._attempt(change, if_version)
             except ConditionFailed:
-                # Another path was changed meanwhile, or an earlier try
-                # took effect: the next look tells.
-                pause_s = PAUSE_S
+                # Another path was changed in the meantime, or an earlier
+                # attempt took effect. The next attempt reads the state
+                # again and distinguishes the two.
+                backoff_s = FIRST_BACKOFF_S
             except WriteUnknown:
-                sent = True
-                pause_s = min(MAX_PAUSE_S, pause_s * 2)
+                may_have_applied = True
+                backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
             except (StoreUnavailable, UnreadableRecord):
-                if not sent:
+                if not may_have_applied:
                     raise
-                pause_s = min(MAX_PAUSE_S, pause_s * 2)
-            gevent.sleep(self._rng.uniform(pause_s / 2, pause_s))
-        raise OutcomeUnknown('the store did not say whether it took effect')
+                backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
+            gevent.sleep(self._rng.uniform(backoff_s / 2, backoff_s))
+        raise OutcomeUnknown(
+            'the store did not confirm whether the change took effect'
+        )
 
     def read(self, path: str) -> Change:
-        """Return what is stored at ``path``, with its version."""
+        """Return the last change of ``path``; version 0 if there is none."""
         change = self._state(path).change or Change(0, path, None)
         return change._replace(write_id='')
 
     def head(self) -> int:
-        """Return the tree's version as the store says it."""
+        """Return the version of the stored tree, or 0 if it is empty."""
         row = self._table.read([HEAD], Priority.settings)[0]
-        return self._reader.read(row, version_in) or 0
+        return self._reader.read(row, parse_head_version) or 0
 
     def changes(self, first: int, last: int) -> list[Change]:
-        """Return the changes ``first`` to ``last``, as far as is known.
+        """Return the stored changes ``first`` to ``last``, both inclusive.
 
-        Raises UnreadableRecord if the first is there and unreadable.
+        The list ends before the first unreadable change and has at most
+        MAX_CHANGES_PER_READ changes. Raises UnreadableRecord if no
+        readable change precedes the unreadable one.
         """
         found = []
-        for row in self._past(first, last):
+        for row in self._history_rows(first, last):
             try:
-                change = self._reader.read(row, past_in)
+                change = self._reader.read(row, parse_history_change)
             except UnreadableRecord:
                 if not found:
                     raise
@@ -114,20 +120,21 @@
         return found
 
     def snapshot(self) -> Snapshot:
-        """Return the whole tree, not older than when the call began."""
+        """Return the whole tree, at least as new as at the call's start."""
         version = self.head()
         rows = scan_all(self._table, f'{NODE_PREFIX}/', Priority.settings)
         found = by_key(rows)
-        changes = list(self._reader.readable(found.values(), node_in))
+        changes = list(self._reader.readable(found.values(), parse_node_change))
         nodes = [
             (change.path, change.raw, change.version)
             for change in changes
             if change.raw is not None
         ]
-        paths_there = {key.removeprefix(NODE_PREFIX) for key in found}
-        unreadable = paths_there - {change.path for change in changes}
-        # Nodes changed during the scan belong to later versions; those
-        # changes are read again from the history and applied in order.
+        stored_paths = {key.removeprefix(NODE_PREFIX) for key in found}
+        unreadable = stored_paths - {change.path for change in changes}
+        # Nodes that changed during the scan belong to later versions.
+        # The follower reads those changes from the history afterwards and
+        # applies them again in order.
         return Snapshot(version, nodes, tuple(unreadable))
 
     def history(self, path: str, limit: int) -> list[Change]:
@@ -135,8 +142,10 @@
         last = self.head()
         found: list[Change] = []
         while last > 0 and len(found) < limit:
-            first = max(1, last - CHANGES_A_READ + 1)
-            past = self._reader.readable(self._past(first, last), past_in)
+            first = max(1, last - MAX_CHANGES_PER_READ + 1)
+            past = self._reader.readable(
+                self._history_rows(first, last), parse_history_change
+            )
             found.extend(
                 change
                 for change in reversed(list(past))
@@ -145,9 +154,9 @@
             last = first - 1
         return found[:limit]
 
-    def _try(self, change: Change, if_version: int) -> Change:
+    def _attempt(self, change: Change, if_version: int) -> Change:
         state = self._state(change.path)
-        done = self._own(state, change, if_version)
+        done = self._applied_change(state, change, if_version)
         if done is not None:
             return done
         if state.node_version != if_version:
@@ -173,22 +182,26 @@
         )
         return done
 
-    def _own(
+    def _applied_change(
         self,
         state: NodeState,
         change: Change,
         if_version: int,
     ) -> Change | None:
-        """Return this change if an earlier try of it took effect."""
+        """Return the stored change if an earlier attempt took effect.
+
+        Raises OutcomeUnknown if unreadable history hides the answer.
+        """
         stored = state.change
         if stored is None or stored.version == if_version:
             return None
         if stored.write_id == change.write_id:
             return stored
-        # It may have taken effect and then been changed by another.
-        first = max(if_version + 1, state.version - CHANGES_A_READ + 1)
-        rows = self._past(first, state.version)
-        found = list(self._reader.readable(rows, past_in))
+        # An earlier attempt may have taken effect, and someone else may
+        # have changed the node after it. The history shows whether.
+        first = max(if_version + 1, state.version - MAX_CHANGES_PER_READ + 1)
+        rows = self._history_rows(first, state.version)
+        found = list(self._reader.readable(rows, parse_history_change))
         for past in found:
             if past.write_id == change.write_id:
                 logs.emit(events.WRITE_RESOLVED, path=change.path)
@@ -212,8 +225,8 @@
         )
         return SettingsConflict(
             f'{change.path} is at version {state.node_version}, not'
-            f' {if_version}; theirs: {stored.raw!r}'
-            f' by {stored.who}; yours: {change.raw!r}',
+            f' {if_version}; stored value: {stored.raw!r}'
+            f' by {stored.who}; rejected value: {change.raw!r}',
             param=str(state.node_version),
         )
 
@@ -223,12 +236,15 @@
         return NodeState(
             rows[HEAD],
             rows[key],
-            self._reader.read(rows[HEAD], version_in) or 0,
-            self._reader.read(rows[key], node_in),
+            self._reader.read(rows[HEAD], parse_head_version) or 0,
+            self._reader.read(rows[key], parse_node_change),
         )
 
-    def _past(self, first: int, last: int) -> list[Row]:
-        """Return the rows of some changes ``first`` to ``last``."""
-        last = min(last, first + CHANGES_A_READ - 1)
+    def _history_rows(self, first: int, last: int) -> list[Row]:
+        """Return the history rows of changes ``first`` to ``last``.
+
+        Returns at most MAX_CHANGES_PER_READ rows, from ``first`` on.
+        """
+        last = min(last, first + MAX_CHANGES_PER_READ - 1)
         keys = [history_key(number) for number in range(first, last + 1)]
         return self._table.read(keys, Priority.settings)
--- a/cactusridge/settings/tree.py
+++ b/cactusridge/settings/tree.py
@@ -1,4 +1,4 @@
-"""The settings in force in this process; the version only grows."""
+"""The settings in force in this process; their version never decreases."""
 
 import itertools
 from collections import OrderedDict
@@ -15,7 +15,10 @@
 
 
 class Change(NamedTuple):
-    """One accepted change; ``raw`` None removes the node."""
+    """One accepted change.
+
+    A ``raw`` of None removes the node. ``when`` is Unix time in seconds.
+    """
 
     version: int
     path: str
@@ -26,16 +29,17 @@
 
 
 class Node(NamedTuple):
-    """A node in force: its JSON and the tree's version that set it."""
+    """A node in force: its JSON and the tree version that set it."""
 
     encoded: bytes
     version: int
 
 
 class Snapshot(NamedTuple):
-    """All nodes at one version: ``(path, raw, version)`` each.
+    """All nodes of a tree, each as ``(path, raw, version)``.
 
-    Nodes at the ``unreadable`` paths are there and could not be read.
+    ``unreadable`` has the paths of nodes that exist in the store but could
+    not be read.
     """
 
     version: int
@@ -44,10 +48,11 @@
 
 
 class SettingsTree:
-    """Nodes by path; a lower version than the one applied has no effect.
+    """Holds the nodes by path and ignores versions that are not newer.
 
-    Nodes are held as JSON; checked models are made when asked for and
-    only those last used are kept, so that many teams cost little memory.
+    Nodes are held as JSON. Validated models are built on demand, and only
+    the MAX_MODELS most recently used ones are cached, so that many teams
+    use little memory.
     """
 
     def __init__(self) -> None:
@@ -56,15 +61,15 @@
         self._nodes: dict[str, Node] = {}
         self._models: OrderedDict[str, Any] = OrderedDict()
         self._followers: list[Callable[[str], None]] = []
-        self._failures = RowReports(events.LISTENER_FAILED)
+        self._failure_reports = RowReports(events.LISTENER_FAILED)
 
     def follow(self, on_change: Callable[[str], None]) -> None:
-        """Call ``on_change`` with each path that changes, from now on."""
+        """Call ``on_change`` with each path set now and each later change."""
         self._followers.append(on_change)
-        self._tell(tuple(self._nodes))
+        self._notify_followers(tuple(self._nodes))
 
     def apply(self, change: Change) -> bool:
-        """Apply the next change; False when it is not the next one."""
+        """Apply ``change``; return False if it is not the next version."""
         if change.version != self.version + 1:
             return False
         self._models.pop(change.path, None)
@@ -73,13 +78,13 @@
         else:
             self._nodes[change.path] = _node(change.raw, change.version)
         self.version = change.version
-        self._tell((change.path,))
+        self._notify_followers((change.path,))
         return True
 
     def load(self, snapshot: Snapshot) -> bool:
-        """Replace all nodes if ``snapshot`` is newer; tell whether it was.
+        """Replace all nodes if ``snapshot`` is newer; return whether it was.
 
-        Where it could not be read the last good node stays.
+        At the snapshot's unreadable paths, the last good node stays.
         """
         if snapshot.version <= self.version:
             return False
@@ -93,11 +98,11 @@
         }
         self._models.clear()
         self.version = snapshot.version
-        self._tell(before | set(self._nodes))
+        self._notify_followers(before | set(self._nodes))
         return True
 
     def snapshot(self) -> Snapshot:
-        """Return all nodes, to hand to a peer."""
+        """Return all nodes, for transfer to a peer."""
         nodes = [
             (path, orjson.loads(node.encoded), node.version)
             for path, node in self._nodes.items()
@@ -105,17 +110,17 @@
         return Snapshot(self.version, nodes)
 
     def raw(self, path: str) -> Any:
-        """Return what is set at ``path``, or None."""
+        """Return the unvalidated settings at ``path``, or None."""
         node = self._nodes.get(path)
         return orjson.loads(node.encoded) if node else None
 
     def node_version(self, path: str) -> int:
-        """Return the version that set ``path``; 0 when nothing has."""
+        """Return the tree version that set ``path``, or 0 if it is not set."""
         node = self._nodes.get(path)
         return node.version if node else 0
 
     def model(self, path: str) -> Any:
-        """Return the checked settings at ``path``, or None."""
+        """Return the settings at ``path`` as a validated model, or None."""
         model = self._models.get(path)
         if model is None:
             raw = self.raw(path)
@@ -129,7 +134,7 @@
         return model
 
     def paths(self, kind: paths.NodeKind | None = None) -> Iterator[str]:
-        """Yield the paths of all nodes, or of one kind."""
+        """Yield the paths of all nodes, or of the nodes of ``kind``."""
         for path in tuple(self._nodes):
             if kind is None or paths.parse(path).kind == kind:
                 yield path
@@ -138,16 +143,17 @@
         """Return the number of nodes."""
         return len(self._nodes)
 
-    def _tell(self, changed: Iterable[str]) -> None:
+    def _notify_followers(self, changed: Iterable[str]) -> None:
         for path, on_change in itertools.product(changed, self._followers):
             try:
                 on_change(path)
             except Exception as fault:
-                # What one cannot take costs it that path alone.
-                self._failures.note(path, self.version, repr(fault))
+                # A follower that fails misses only this path; the other
+                # followers and later changes are not affected.
+                self._failure_reports.note(path, self.version, repr(fault))
 
 
 def _node(raw: Any, version: int) -> Node:
-    # The encoder's buffer is some KB however short the text; a copy is
-    # just as long as it needs to be.
+    # orjson's result keeps a buffer of several KB even for short texts.
+    # The copy uses only as much memory as the text needs.
     return Node(bytes(memoryview(orjson.dumps(raw))), version)
--- a/cactusridge/startup/__init__.py
+++ b/cactusridge/startup/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's own start settings, read once and checked in full."""
+"""The start settings of a daemon, validated in full at its start."""
--- a/cactusridge/startup/loader.py
+++ b/cactusridge/startup/loader.py
@@ -1,4 +1,4 @@
-"""Reads a start settings file and lists every mistake in it at once."""
+"""Reads a start settings file and reports all of its errors at once."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -23,15 +23,15 @@
     },
 )
 
-# What stands in the library's errors before the place in a value.
-INNER_PLACE = ' - at `$'
+# msgspec puts this text before the path of a nested value in its messages.
+NESTED_PATH_MARK = ' - at `$'
 
 
 class SettingsMistake(Exception):
-    """One mistake: the file, the path in it, what was expected."""
+    """One error in a start settings file: file, path and expected value."""
 
     def __init__(self, source: str, place: str, expected: str) -> None:
-        """Keep where the mistake is and what was expected."""
+        """Record the file, the path in it and what was expected there."""
         super().__init__(f'{source}: {place}: {expected}')
         self.source = source
         self.place = place
@@ -39,11 +39,15 @@
 
 
 class BadStartSettings(ExceptionGroup[SettingsMistake]):
-    """All mistakes of one start settings file."""
+    """All errors of one start settings file."""
 
 
 def load_file(path: str, role: str | None = None) -> CommonSettings:
-    """Return the settings in ``path``; raise BadStartSettings."""
+    """Return the settings in the file ``path``.
+
+    Raises BadStartSettings if the file cannot be read, is invalid, or is
+    for another role than ``role``.
+    """
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as exc:
@@ -58,62 +62,70 @@
 
 
 def check(source: str, raw: dict[str, Any], role: str | None) -> CommonSettings:
-    """Return ``raw`` as settings of its role; raise BadStartSettings."""
-    stated = raw.get('role')
-    model = ROLES.get(stated) if isinstance(stated, str) else None
+    """Return ``raw`` as the settings of the role that it names.
+
+    ``source`` names the file in errors. Raises BadStartSettings with one
+    SettingsMistake for each error.
+    """
+    given = raw.get('role')
+    model = ROLES.get(given) if isinstance(given, str) else None
     if model is None:
         raise _single(source, 'role', f'one of {", ".join(ROLES)}')
-    if role not in {None, stated}:
-        raise _single(source, 'role', f'{role}, as the command line says')
+    if role not in {None, given}:
+        raise _single(
+            source, 'role', f'{role}, the role given on the command line'
+        )
     mistakes = [
         SettingsMistake(source, place, expected)
-        for place, expected in _mistakes(raw, model, '')
+        for place, expected in _find_mistakes(raw, model, '')
     ]
     if mistakes:
         raise BadStartSettings('bad start settings', mistakes)
     return msgspec.convert(raw, model)
 
 
-def _mistakes(
+def _find_mistakes(
     raw: dict[Any, Any],
     model: type[msgspec.Struct],
-    above: str,
+    parent: str,
 ) -> Iterator[tuple[str, str]]:
-    """Yield the place of each mistake and what was expected there.
+    """Yield the path of each error and what was expected there.
 
-    The library stops at the first one, so each field is tried alone.
+    msgspec stops at the first error, so each field is converted alone.
     """
     fields = {field.name: field for field in msgspec.structs.fields(model)}
     for unknown in raw.keys() - fields.keys():
-        yield f'{above}{unknown}', 'no such setting'
+        yield f'{parent}{unknown}', 'no such setting'
     for name, field in fields.items():
-        place = f'{above}{name}'
-        stated = raw.get(name, msgspec.UNSET)
-        if stated is not msgspec.UNSET:
-            yield from _mistakes_in(stated, field.type, place)
+        place = f'{parent}{name}'
+        given = raw.get(name, msgspec.UNSET)
+        if given is not msgspec.UNSET:
+            yield from _find_field_mistakes(given, field.type, place)
         elif field.required:
-            yield place, 'a value, it is missing'
+            yield place, 'a value, but the setting is missing'
 
 
-def _mistakes_in(
+def _find_field_mistakes(
     value: Any,
-    wanted: Any,
+    field_type: Any,
     place: str,
 ) -> Iterator[tuple[str, str]]:
-    """Yield what is wrong with the value of one field."""
-    if _is_model(wanted) and isinstance(value, dict):
-        yield from _mistakes(value, wanted, f'{place}.')
+    """Yield the path and expected value of each error in one field."""
+    if _is_model(field_type) and isinstance(value, dict):
+        yield from _find_mistakes(value, field_type, f'{place}.')
         return
     try:
-        msgspec.convert(value, wanted)
+        msgspec.convert(value, field_type)
     except msgspec.ValidationError as exc:
-        expected, _, inner = str(exc).partition(INNER_PLACE)
+        expected, _, inner = str(exc).partition(NESTED_PATH_MARK)
         yield place + inner.rstrip('`'), expected
 
 
-def _is_model(wanted: Any) -> bool:
-    """Tell whether a field's type is a group of settings."""
-    return isinstance(wanted, type) and issubclass(wanted, msgspec.Struct)
+def _is_model(field_type: Any) -> bool:
+    """Return whether a field's type is a nested settings class."""
+    return isinstance(field_type, type) and issubclass(
+        field_type, msgspec.Struct
+    )
 
 
 def _single(source: str, place: str, expected: str) -> BadStartSettings:
--- a/cactusridge/startup/models.py
+++ b/cactusridge/startup/models.py
@@ -1,4 +1,4 @@
-"""Start settings of the two roles."""
+"""Start settings of the roles: entry, sidecar and direct entry."""
 
 from typing import Annotated, Any, Literal, Self
 
@@ -14,34 +14,39 @@
 Bytes = Annotated[int, Meta(ge=1024)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 MEBIBYTE = 1 << 20
-MS = 1000
-# From the end of a drain to the end of the process, in seconds: 0.2 s for
-# the log's reader, some 0.05 s for the interpreter, and as much again.
-EXIT_S = 0.5
+MS_PER_SECOND = 1000
+# Time from the end of a drain to the exit of the process, in seconds: 0.2 s
+# to flush the log, about 0.05 s for the interpreter's shutdown, and a
+# reserve of the same length.
+EXIT_RESERVE_S = 0.5
 
 
 class Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Start settings in which an unknown key is a mistake.
+    """Base of start settings; unknown keys are rejected.
 
-    Values are checked where a file is read and by ``made_of``, not by
-    the constructor. This library, not pydantic: an entry is needed soon
-    after its start, and loading pydantic was a large part of that.
+    Values are validated when a file is loaded and by ``made_of``, but not
+    by the constructor. The models use msgspec because importing pydantic
+    takes a large part of the start-up time, and an entry has to serve soon
+    after its start.
     """
 
     @classmethod
     def made_of(cls, **raw: Any) -> Self:
-        """Return settings of plain values; raise ValidationError."""
+        """Return settings built from plain values.
+
+        Raises msgspec.ValidationError if a value is invalid.
+        """
         return msgspec.convert(raw, cls)
 
 
 class LogSettings(Model, frozen=True, kw_only=True):
-    """How logs are written."""
+    """Format of the log."""
 
     style: Literal['json', 'console'] = 'json'
 
 
 class CommonSettings(Model, frozen=True, kw_only=True):
-    """What both roles have."""
+    """Start settings that all roles have."""
 
     listen: AddressText
     zone: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -58,37 +63,38 @@
 
     @property
     def address(self) -> Address:
-        """Return where this process listens."""
+        """Return the address that this process listens on."""
         return parse_address(self.listen)
 
     @property
     def drain_s(self) -> float:
-        """Return how long requests in work may take at a stop, in s."""
+        """Return how long in-flight requests may drain, in seconds."""
         return self.drain_timeout_s
 
 
 class StoreSettings(Model, frozen=True, kw_only=True):
-    """The platform's services and this process's share of them."""
+    """The platform's store and this process's share of its capacity."""
 
     address: AddressText
     timeout_s: PositiveSeconds = 2
-    # A store that answers fast is given up after this time already; not
-    # set, every call waits for timeout_s.
+    # Lower bound of the adaptive timeout of store calls, in seconds, which
+    # applies while the store responds fast. If unset, every call has the
+    # timeout timeout_s.
     least_timeout_s: PositiveSeconds | None = None
     calls_per_s: Annotated[float, Meta(gt=0)] = 100
-    # The longest pause between calls while the store is away. What it
-    # is back with has to be in force soon after; an entry asks up to
-    # four times in each pause.
+    # The longest pause between calls while the store is unavailable, in
+    # seconds. Changes in the store have to be in force soon after it
+    # recovers. An entry makes up to four calls in each pause.
     max_pause_s: PositiveSeconds = 4
 
     @property
     def least_s(self) -> float:
-        """The shortest wait for an answer, in seconds."""
+        """The lower bound of the store call timeout, in seconds."""
         return self.least_timeout_s or self.timeout_s
 
 
 class BatchSettings(Model, frozen=True, kw_only=True):
-    """How this entry drives batch work."""
+    """How an entry accepts and runs batch jobs."""
 
     chunk_items: Count = 64
     span_chunks: Count = 16
@@ -100,12 +106,16 @@
     scan_s: PositiveSeconds = 0.5
     max_spans: Count = 16
     item_concurrency: Count = 256
-    # Share of the closed spans whose stored results are read again.
+    # Share of the closed spans whose stored results are read back to verify
+    # them.
     audit_share: Annotated[float, Meta(ge=0, le=1)] = 0.05
 
 
 class EntryPolicy(Model, frozen=True, kw_only=True):
-    """Which decision of each kind an entry uses; the second is naive."""
+    """Policies of an entry.
+
+    The first value of each is the default; the others are naive baselines.
+    """
 
     picker: Literal['prefix', 'least_of_few', 'round_robin'] = 'prefix'
     retries: Literal['budget', 'thrice'] = 'budget'
@@ -115,7 +125,10 @@
 
 
 class SidecarPolicy(Model, frozen=True, kw_only=True):
-    """Which decision of each kind a sidecar uses; the second is naive."""
+    """Policies of a sidecar.
+
+    The first value of each is the default; the others are naive baselines.
+    """
 
     batch: Literal['objective', 'fill'] = 'objective'
     limit: Literal['objective', 'fixed'] = 'objective'
@@ -129,8 +142,8 @@
     admin_token_sha256: Annotated[str, Meta(pattern=r'^[0-9a-f]{64}\Z')]
     seed_peers: tuple[AddressText, ...] = ()
     settings_poll_s: PositiveSeconds = 1
-    # How often entries read what others know of requests that crash
-    # upstreams.
+    # Interval, in seconds, at which an entry reads the strikes that other
+    # entries recorded against requests that crash upstreams.
     strikes_poll_s: PositiveSeconds = 2
     probe_s: PositiveSeconds = 0.5
     report_age_s: Annotated[float, Meta(ge=0, le=60)] = 0.05
@@ -142,9 +155,10 @@
 
 
 class DirectPolicy(Model, frozen=True, kw_only=True):
-    """Which decision of each kind such an entry uses; the second is naive.
+    """Policies of a direct entry.
 
-    docs/DECISIONS.md tells what each is worth.
+    The first value of each is the default; the others are naive baselines.
+    docs/DECISIONS.md evaluates the values.
     """
 
     placing: Literal['least_online', 'any'] = 'least_online'
@@ -159,14 +173,14 @@
 
 
 class DirectEntrySettings(CommonSettings, frozen=True, kw_only=True):
-    """Start settings of an entry that reaches upstreams itself.
+    """Start settings of an entry that connects to upstreams directly.
 
-    ``grace_s`` is the time between the platform's word to stop and its
-    kill. The peers of this entry are found through the store.
+    ``grace_s`` is the time in seconds between the platform's stop signal
+    and its kill. The entry discovers its peers through the store.
     """
 
     role: Literal['direct_entry'] = 'direct_entry'
-    # Nothing is told to sidecars, so there is no secret to share.
+    # A direct entry sends nothing to sidecars, so it needs no shared secret.
     internal_secret: str = ''
     name: Name
     readiness_listen: AddressText
@@ -174,36 +188,42 @@
     metrics_listen: AddressText
     store: StoreSettings
     grace_s: PositiveSeconds = 8
-    # Results can be read for this long after a job's submission.
+    # Time after a job's submission during which its results can be read,
+    # in seconds.
     keep_jobs_s: PositiveSeconds = 120
-    # A key that was taken away opens nothing after this long, in ms, at an
-    # entry that cannot reach the store either; not set, such an entry goes
-    # by what it knew.
+    # Time after which every entry rejects a revoked key, in ms, even an entry
+    # that cannot reach the store. If unset, an entry that cannot reach the
+    # store keeps using the keys that it last read.
     revoke_ms: Annotated[float, Meta(ge=1000)] | None = None
     policy: DirectPolicy = DirectPolicy()
 
     @property
     def keys_last_s(self) -> float | None:
-        """For how long what is known of keys counts, in seconds."""
-        return None if self.revoke_ms is None else self.revoke_ms / MS
+        """How long the last confirmed keys stay valid, in seconds.
+
+        None means without limit.
+        """
+        return (
+            None if self.revoke_ms is None else self.revoke_ms / MS_PER_SECOND
+        )
 
     @property
     def drain_s(self) -> float:
-        """Return how long requests in work may take at a stop, in s.
+        """Return how long in-flight requests may drain, in seconds.
 
-        The process is gone before the platform would kill it.
+        The limit lets the process exit before the platform kills it.
         """
-        left_s = self.grace_s - self.readiness_delay_s - EXIT_S
-        return max(0, min(self.drain_timeout_s, left_s))
+        available_s = self.grace_s - self.readiness_delay_s - EXIT_RESERVE_S
+        return max(0, min(self.drain_timeout_s, available_s))
 
     @property
     def peer_address(self) -> Address:
-        """Return where peers reach this entry, by datagram and by HTTP."""
+        """Return the address for datagrams and HTTP requests of peers."""
         return parse_address(self.peer_listen)
 
 
 class UpstreamSettings(Model, frozen=True, kw_only=True):
-    """One upstream on this host."""
+    """One upstream on the sidecar's host."""
 
     service: Annotated[str, Meta(pattern='^/teams/')]
     address: AddressText
--- a/tests/test_settings_store.py
+++ b/tests/test_settings_store.py
@@ -63,7 +63,7 @@
     @initialize()
     def no_pauses(self):
         """Repeat without waiting."""
-        names = ('PAUSE_S', 'MAX_PAUSE_S')
+        names = ('FIRST_BACKOFF_S', 'MAX_BACKOFF_S')
         self.patches = [
             mock.patch.object(store_module, name, 0) for name in names
         ]
--- a/tests/test_spoilt_tree.py
+++ b/tests/test_spoilt_tree.py
@@ -54,7 +54,7 @@
         self.follower = SettingsFollower(self.tree, self.store, NoPeer())
         self.store.put(PATH, RAW, 0, 'w')
         self.follower.step()
-        for name in ('PAUSE_S', 'MAX_PAUSE_S'):
+        for name in ('FIRST_BACKOFF_S', 'MAX_BACKOFF_S'):
             patch = mock.patch.object(store_module, name, 0)
             patch.start()
             self.addCleanup(patch.stop)
