--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -1,4 +1,4 @@
-"""Settings, status and reports for operators."""
+"""HTTP interface for operators: settings, status and burn reports."""
 
 from http import HTTPStatus
 from typing import Any
@@ -18,13 +18,13 @@
 from cactusridge.slo.burn import QUARTER, BurnReporter
 from cactusridge.slo.history import SloHistory
 
-MAX_HISTORY = 200
-FAN_OUT = 16
-NODE = '(?P<path>/teams/.+)'
+MAX_HISTORY_CHANGES = 200
+MAX_CONCURRENT_REQUESTS = 16
+TEAM_PATH = '(?P<path>/teams/.+)'
 
 
 class AdminApi:
-    """What operators may see and change."""
+    """Serves settings, status and reports to operators."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         follower: SettingsFollower,
         peers: PeerClient,
     ) -> None:
-        """Serve the settings that ``follower`` keeps in force."""
+        """Serve the settings that ``follower`` keeps up to date."""
         self._parts = parts
         self._follower = follower
         self._peers = peers
@@ -40,37 +40,39 @@
     def routes(self) -> list[Route]:
         """Return the routes of this interface."""
         return [
-            route('GET', f'/admin/settings{NODE}', self.show),
-            route('PUT', f'/admin/settings{NODE}', self.change),
-            route('GET', f'/admin/history{NODE}', self.history),
+            route('GET', f'/admin/settings{TEAM_PATH}', self.show),
+            route('PUT', f'/admin/settings{TEAM_PATH}', self.change),
+            route('GET', f'/admin/history{TEAM_PATH}', self.history),
             route('GET', '/admin/paths', self.page),
             route('GET', '/admin/status', self.status),
             route('GET', '/admin/burn', self.burn),
         ]
 
     def internal_routes(self) -> list[Route]:
-        """Return the routes for other entries."""
+        """Return the routes that other entries call."""
         return [
             route('GET', '/internal/snapshot', self.snapshot),
-            route('GET', '/internal/status', self.own_status),
+            route('GET', '/internal/status', self.local_status),
         ]
 
     def show(self, req: Req, path: str) -> Reply:
-        """Return what is stored at a path, with its version."""
-        self._operator(req, path)
+        """Return the settings stored at a path, with their version."""
+        self._authorize_operator(req, path)
         return json_reply(self._parts.settings.read(path)._asdict())
 
     def change(self, req: Req, path: str) -> Reply:
-        """Set a path on condition of its version."""
-        who = self._operator(req, path)
+        """Set a path if its version is still the given one."""
+        who = self._authorize_operator(req, path)
         message = req.json()
         if not isinstance(message, dict) or 'raw' not in message:
-            raise BadRequest('send raw and if_version', param='raw')
+            raise BadRequest(
+                'the body has to have raw and if_version', param='raw'
+            )
         if_version = message.get('if_version')
         if not isinstance(if_version, int) or isinstance(if_version, bool):
-            raise BadRequest('a version is expected', param='if_version')
+            raise BadRequest('expected a version number', param='if_version')
         if paths.parse(path).kind == paths.NodeKind.team and not who.admin:
-            raise Forbidden('teams are set by the administrator')
+            raise Forbidden('only the administrator may set teams')
         named = who.team or 'administrator'
         change = self._parts.settings.put(
             path,
@@ -82,10 +84,10 @@
         return json_reply(change._asdict())
 
     def history(self, req: Req, path: str) -> Reply:
-        """Return the last changes at and below a path."""
-        self._operator(req, path)
-        changes = self._parts.settings.history(path, MAX_HISTORY)
-        listed = [self._visible(change) for change in changes]
+        """Return the last changes at and below a path, newest first."""
+        self._authorize_operator(req, path)
+        changes = self._parts.settings.history(path, MAX_HISTORY_CHANGES)
+        listed = [self._public_fields(change) for change in changes]
         return json_reply({'changes': listed})
 
     def page(self, req: Req) -> Reply:
@@ -100,30 +102,30 @@
         return json_reply({'version': tree.version, 'paths': listed})
 
     def status(self, req: Req) -> Reply:
-        """Return which version is in force on every process."""
+        """Return the settings version in force on every process."""
         self._caller(req)
         peers = self._parts.fleet.peers()
-        answers = Pool(FAN_OUT).map(self._peers.status, peers)
-        own = self._own()
-        entries = {str(self._parts.cfg.address): own['entry']}
-        sidecars = dict(own['sidecars'])
+        answers = Pool(MAX_CONCURRENT_REQUESTS).map(self._peers.status, peers)
+        local = self._local_status()
+        entries = {str(self._parts.cfg.address): local['entry']}
+        sidecars = dict(local['sidecars'])
         for peer, answer in zip(peers, answers, strict=True):
             entries[str(peer)] = answer.get('entry', answer)
-            for name, told in answer.get('sidecars', {}).items():
-                sidecars.setdefault(name, told)
+            for name, sidecar in answer.get('sidecars', {}).items():
+                sidecars.setdefault(name, sidecar)
         return json_reply({'entries': entries, 'sidecars': sidecars})
 
-    def own_status(self, req: Req) -> Reply:
-        """Return this entry's word on itself and its sidecars."""
+    def local_status(self, req: Req) -> Reply:
+        """Return the status of this entry and of the sidecars it knows."""
         self._check_secret(req)
-        return json_reply(self._own())
+        return json_reply(self._local_status())
 
     def snapshot(self, req: Req) -> Reply:
-        """Return the tree to a peer that has an older one."""
+        """Return the settings tree if it is newer than the peer's version."""
         self._check_secret(req)
         after = req.query('after', '0')
         if not after.isdecimal():
-            raise BadRequest('a version is expected', param='after')
+            raise BadRequest('expected a version number', param='after')
         if self._parts.tree.version <= int(after):
             return Reply(HTTPStatus.NO_CONTENT, [], [])
         return json_reply(self._parts.tree.snapshot()._asdict())
@@ -131,10 +133,10 @@
     def burn(self, req: Req) -> Reply:
         """Return the burn report of a service."""
         service = req.query('service')
-        self._operator(req, service)
+        self._authorize_operator(req, service)
         settings = self._parts.tree.model(service)
         if settings is None:
-            raise BadRequest(f'nothing is set at {service}', param='service')
+            raise BadRequest(f'no settings exist at {service}', param='service')
         history = SloHistory(self._parts.objects, self._parts.table)
         report = BurnReporter(history).report(
             service,
@@ -144,7 +146,7 @@
         )
         return json_reply(report)
 
-    def _own(self) -> dict[str, Any]:
+    def _local_status(self) -> dict[str, Any]:
         now = self._parts.fleet.now()
         sidecars = {
             str(host.address): {
@@ -165,12 +167,12 @@
     def _caller(self, req: Req) -> Caller:
         return self._parts.access.caller(req.header('Authorization'))
 
-    def _operator(self, req: Req, path: str) -> Caller:
+    def _authorize_operator(self, req: Req, path: str) -> Caller:
         caller = self._caller(req)
         check_operator(caller, paths.parse(path).team)
         return caller
 
-    def _visible(self, change: Change) -> dict[str, Any]:
+    def _public_fields(self, change: Change) -> dict[str, Any]:
         shown = change._asdict()
         shown.pop('write_id')
         return shown
--- a/cactusridge/entry/answering.py
+++ b/cactusridge/entry/answering.py
@@ -1,4 +1,4 @@
-"""What every answer to an online request has in common."""
+"""Starts, times and returns responses to online requests."""
 
 from typing import NamedTuple
 
@@ -10,28 +10,31 @@
 from cactusridge.sidecar_dispatch.parts import Parts
 from cactusridge.slo.sample import AnswerTimer
 
-HOP_HEADERS = frozenset(('content-length', 'connection', 'date'))
+STRIPPED_HEADERS = frozenset(('content-length', 'connection', 'date'))
 
 
-class Answering(NamedTuple):
-    """An answer that has begun, and the timer that records it."""
+class StartedResponse(NamedTuple):
+    """A response that has started, and the timer that records it."""
 
     attempt: Attempt
     timer: AnswerTimer
 
     def whole(self) -> Reply:
-        """Return the answer as one body."""
+        """Read the whole response and return it as a reply with one body."""
         body = self.attempt.whole()
         self.timer.finished(self.attempt.status)
-        headers = answer_headers(self.attempt)
+        headers = response_headers(self.attempt)
         headers.append(('Content-Length', str(len(body))))
         return Reply(self.attempt.status, headers, [body])
 
 
-def begin_answer(parts: Parts, req: Req, dispatch: Dispatch) -> Answering:
-    """Place ``dispatch``; return its answer, or raise the refusal.
+def open_response(
+    parts: Parts, req: Req, dispatch: Dispatch
+) -> StartedResponse:
+    """Dispatch the request; return its response once it has started.
 
-    While no answer has begun, a caller that hangs up ends the request.
+    Raises the error with which the request was refused or failed. Raises
+    CallerGone if the caller disconnects before the response starts.
     """
     timer = AnswerTimer(parts.recorder, dispatch.service, parts.clock)
 
@@ -45,13 +48,13 @@
         timer.refused(exc)
         metrics.REFUSALS.inc({'code': exc.code})
         raise
-    return Answering(attempt, timer)
+    return StartedResponse(attempt, timer)
 
 
-def answer_headers(attempt: Attempt) -> Headers:
-    """Return the headers of an upstream's answer for the caller."""
+def response_headers(attempt: Attempt) -> Headers:
+    """Return the headers of an upstream's response to send to the caller."""
     return [
         (name, text)
         for name, text in attempt.headers
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in STRIPPED_HEADERS
     ]
--- a/cactusridge/entry/app.py
+++ b/cactusridge/entry/app.py
@@ -1,4 +1,4 @@
-"""An entry: all its parts, its greenlets and its HTTP interface."""
+"""An entry process: its components, greenlets and HTTP interface."""
 
 from collections.abc import Callable
 
@@ -27,14 +27,14 @@
 from cactusridge.startup.models import EntrySettings
 
 MERGE_CHECK_S = 300
-STRIKES = 'strikes/'
+STRIKES_PREFIX = 'strikes/'
 
 
 class Entry:
-    """One entry process."""
+    """One entry process that reaches upstreams through sidecars."""
 
     def __init__(self, cfg: EntrySettings, clock: Clock) -> None:
-        """Build every part of the entry."""
+        """Build the components of the entry without starting them."""
         self.cfg = cfg
         self.draining = False
         self.parts = build_parts(cfg, clock)
@@ -46,16 +46,19 @@
         )
         self.driver = BatchDriver(self.parts)
         suspects = self.parts.dispatcher.suspects
-        # The entries tell each other through the store alone.
+        # Entries share strikes only through the store, so a request is
+        # stored from its first strike on.
         self._strikes = StrikeStore(
             self.parts.table,
-            STRIKES,
+            STRIKES_PREFIX,
             suspects,
             clock,
             least=1,
         )
         suspects.pass_on(self._strikes)
-        self._strike_poll = StrikePoll(self.parts.table, STRIKES, self._strikes)
+        self._strike_poll = StrikePoll(
+            self.parts.table, STRIKES_PREFIX, self._strikes
+        )
         self._merger = HourMerger(
             self.parts.objects,
             self.parts.table,
@@ -67,35 +70,39 @@
         self.app = self._app()
 
     def start(self) -> None:
-        """Learn hosts and settings, then start the greenlets."""
+        """Load the host list and the settings, then start the greenlets."""
         self.parts.fleet.refresh()
         self.follower.start()
         self.parts.fleet.start()
         self.driver.start()
-        self._every(self.cfg.settings_poll_s, self.follower.step)
+        self._spawn_every(self.cfg.settings_poll_s, self.follower.step)
         self.parts.greenlets.spawn(keep_doing, self._strikes.step)
-        self._every(self.cfg.strikes_poll_s, self._strike_poll.step)
-        self._every(self.cfg.report_s, self.parts.recorder.flush)
-        self._every(MERGE_CHECK_S, self._merge_hours)
+        self._spawn_every(self.cfg.strikes_poll_s, self._strike_poll.step)
+        self._spawn_every(self.cfg.report_s, self.parts.recorder.flush)
+        self._spawn_every(MERGE_CHECK_S, self._merge_hours)
 
     def begin_drain(self) -> None:
-        """Fail readiness; requests are still served."""
+        """Fail the readiness probe; requests are still served."""
         self.draining = True
 
     def finish(self, bound_s: float) -> None:
-        """Hand batch work back."""
+        """Stop batch work and hand it back within ``bound_s`` seconds."""
         self.driver.stop(bound_s)
 
     def close(self) -> None:
-        """Store the last counts; no request comes any more."""
+        """Store the final SLO counts after the last request has ended."""
         self.parts.recorder.flush(last=True)
 
     def livez(self, req: Req) -> Reply:
-        """Answer that the process runs."""
+        """Serve the liveness probe."""
         return json_reply({'status': 'live'})
 
     def readyz(self, req: Req) -> Reply:
-        """Answer whether the balancer should send requests here."""
+        """Serve the readiness probe of the load balancer.
+
+        Raises Draining during a drain, and Refused before the first
+        settings are loaded.
+        """
         if self.draining:
             raise Draining
         if not self.parts.tree.version:
@@ -110,14 +117,14 @@
             self.parts.catalog,
             self.parts.clock,
         )
-        kept = (
+        job_storage = (
             self.cfg.batch.shards,
             self.parts.table,
             self.parts.objects,
             self.parts.clock,
         )
-        jobs = JobStore(*kept)
-        reader = JobReader(*kept)
+        jobs = JobStore(*job_storage)
+        reader = JobReader(*job_storage)
         admin = AdminApi(self.parts, self.follower, self.peers)
         routes = [
             *OnlineApi(self.parts).routes(),
@@ -135,5 +142,5 @@
     def _merge_hours(self) -> None:
         merge_due_hours(self._merger)
 
-    def _every(self, pause_s: float, step: Callable[[], None]) -> None:
+    def _spawn_every(self, pause_s: float, step: Callable[[], None]) -> None:
         self.parts.greenlets.spawn(keep_doing_every, pause_s, step)
--- a/cactusridge/entry/batches.py
+++ b/cactusridge/entry/batches.py
@@ -1,4 +1,4 @@
-"""``/v1/batches``: create, read, list and cancel jobs."""
+"""``/v1/batches``: create, read, list and cancel batch jobs."""
 
 import re
 from typing import Any
@@ -16,15 +16,15 @@
 from cactusridge.sidecar_dispatch.parts import Parts
 
 KEY_HEADER = 'Idempotency-Key'
-MAX_KEY = 256
-MAX_PAGE = 100
-DEFAULT_PAGE = 20
+MAX_KEY_LENGTH = 256
+MAX_PAGE_SIZE = 100
+DEFAULT_PAGE_SIZE = 20
 JOB_CLASS = re.compile(f'({NAME})/({NAME})')
-METADATA_LIMIT = 16
+MAX_METADATA_ENTRIES = 16
 
 
 class BatchesApi:
-    """Serves jobs."""
+    """Serves batch jobs in the format of the OpenAI batch API."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         jobs: JobStore,
         reader: JobReader,
     ) -> None:
-        """Serve ``jobs`` over ``files``."""
+        """Serve ``jobs``, whose input is in ``files``."""
         self._parts = parts
         self._files = files
         self._jobs = jobs
@@ -49,14 +49,14 @@
         ]
 
     def create(self, req: Req) -> Reply:
-        """Accept a job; the answer comes once it is in the platform."""
+        """Accept a job; respond once the job is stored in the platform."""
         team = self._parts.team_of(req)
         body = req.json()
-        file_name = _checked(body)
+        file_name = _input_file_id(body)
         manifest = self._files.get(team, file_name)
         if body.get('endpoint') != manifest.url:
             raise BadRequest(
-                f'endpoint is not that of the file, {manifest.url}',
+                f'endpoint has to be the url of the file, {manifest.url}',
                 param='endpoint',
             )
         job_class, job_settings = self._job_class(team, body)
@@ -64,7 +64,7 @@
         job = self._jobs.accept(
             Submission(
                 team=team,
-                key=_key(req, body),
+                key=_idempotency_key(req, body),
                 body=body,
                 manifest=manifest,
                 service=service,
@@ -76,7 +76,7 @@
 
     def page(self, req: Req) -> Reply:
         """List a page of the team's jobs."""
-        limit = _limit(req.query('limit'))
+        limit = _page_size(req.query('limit'))
         after = req.query('after')
         jobs = self._jobs.page(self._parts.team_of(req), after, limit + 1)
         listed = [self._entry(job) for job in jobs[:limit]]
@@ -96,7 +96,7 @@
         )
 
     def cancel(self, req: Req, name: str) -> Reply:
-        """Cancel a job; what was committed before stays readable."""
+        """Cancel a job; results committed before stay readable."""
         job = self._jobs.cancel(self._parts.team_of(req), name)
         return json_reply(self._entry(job))
 
@@ -108,25 +108,30 @@
         team: str,
         body: dict[str, Any],
     ) -> tuple[str, JobSettings | None]:
-        """Return the job class that the metadata names, and its settings."""
-        named = (body.get('metadata') or {}).get('job')
-        if named is None:
+        """Return the path and settings of the job class in the metadata.
+
+        Returns an empty path and None if the metadata names no job class.
+        """
+        class_name = (body.get('metadata') or {}).get('job')
+        if class_name is None:
             return '', None
-        found = JOB_CLASS.fullmatch(named)
+        found = JOB_CLASS.fullmatch(class_name)
         if found is None:
             raise BadRequest(
-                'metadata.job has to be DEPLOYMENT/JOB',
+                'metadata.job has to have the form DEPLOYMENT/JOB',
                 param='metadata.job',
             )
         path = f'/teams/{team}/deployments/{found[1]}/jobs/{found[2]}'
         settings = self._parts.tree.model(path)
         if settings is None:
-            raise BadRequest(f'nothing is set at {path}', param='metadata.job')
+            raise BadRequest(
+                f'no settings exist at {path}', param='metadata.job'
+            )
         return path, settings
 
 
 def batch_entry(status: JobStatus) -> dict[str, Any]:
-    """Return a job in its published form."""
+    """Return a job as the API's batch object."""
     job = status.job
     failed_name = f'{ERROR_PREFIX}{job.id}' if status.failed else None
     finished = int(status.finished_at) or None
@@ -161,32 +166,42 @@
     }
 
 
-def _checked(body: Any) -> str:
+def _input_file_id(body: Any) -> str:
     if not isinstance(body, dict):
         raise BadRequest('the body has to be a JSON object')
     metadata = body.get('metadata') or {}
-    texts = isinstance(metadata, dict) and all(
+    are_strings = isinstance(metadata, dict) and all(
         isinstance(text, str) for text in metadata.values()
     )
-    if not texts or len(metadata) > METADATA_LIMIT:
-        raise BadRequest('metadata has to be texts by name', param='metadata')
+    if not are_strings or len(metadata) > MAX_METADATA_ENTRIES:
+        raise BadRequest(
+            'metadata has too many entries or a value that is no string',
+            param='metadata',
+        )
     file_name = body.get('input_file_id')
     if not isinstance(file_name, str):
-        raise BadRequest('a file id is expected', param='input_file_id')
+        raise BadRequest(
+            'input_file_id has to be a file id, a string', param='input_file_id'
+        )
     return file_name
 
 
-def _key(req: Req, body: dict[str, Any]) -> str:
-    """Return what names this submission, however often it is sent."""
+def _idempotency_key(req: Req, body: dict[str, Any]) -> str:
+    """Return the idempotency key of a submission.
+
+    Without an ``Idempotency-Key`` header, the key is the body's digest.
+    """
     given = req.header(KEY_HEADER)
-    if len(given) > MAX_KEY:
-        raise BadRequest(f'{KEY_HEADER} is over {MAX_KEY}', param=KEY_HEADER)
+    if len(given) > MAX_KEY_LENGTH:
+        raise BadRequest(
+            f'{KEY_HEADER} is longer than {MAX_KEY_LENGTH}', param=KEY_HEADER
+        )
     return f'key/{given}' if given else f'body/{body_digest(body)}'
 
 
-def _limit(text: str) -> int:
+def _page_size(text: str) -> int:
     if not text:
-        return DEFAULT_PAGE
-    if not text.isdecimal() or not 0 < int(text) <= MAX_PAGE:
-        raise BadRequest(f'limit has to be 1 to {MAX_PAGE}', param='limit')
+        return DEFAULT_PAGE_SIZE
+    if not text.isdecimal() or not 0 < int(text) <= MAX_PAGE_SIZE:
+        raise BadRequest(f'limit has to be 1 to {MAX_PAGE_SIZE}', param='limit')
     return int(text)
--- a/cactusridge/entry/building.py
+++ b/cactusridge/entry/building.py
@@ -1,4 +1,4 @@
-"""Builds the parts of an entry from its start settings."""
+"""Builds the components of an entry from its start settings."""
 
 import functools
 import random
@@ -26,11 +26,11 @@
 from cactusridge.store.object_store import HttpObjectStore
 from cactusridge.store.reply_timeout import ReplyTimeout
 
-NAME_BYTES = 4
+NAME_SUFFIX_BYTES = 4
 
 
 def build_parts(cfg: EntrySettings, clock: Clock) -> Parts:
-    """Return the parts of an entry; nothing runs yet."""
+    """Return the components of an entry without starting any greenlet."""
     rng = random.Random()  # noqa: S311
     tree = SettingsTree()
     table = HttpTable(_link(cfg, clock))
@@ -39,7 +39,7 @@
     greenlets = Group()
     host_list = HttpHostList(_link(cfg, clock))
     fleet = Fleet(cfg, host_list, client, tree, greenlets)
-    name = f'{cfg.address}~{secrets.token_hex(NAME_BYTES)}'
+    name = f'{cfg.address}~{secrets.token_hex(NAME_SUFFIX_BYTES)}'
     return Parts(
         cfg=cfg,
         clock=clock,
--- a/cactusridge/entry/files.py
+++ b/cactusridge/entry/files.py
@@ -1,4 +1,4 @@
-"""``/v1/files``: batch input, and the output of batches."""
+"""``/v1/files``: input files of batch jobs, and their output files."""
 
 from http import HTTPStatus
 from typing import Any
@@ -20,7 +20,10 @@
 
 
 class FilesApi:
-    """Serves files; outputs are read through the table's pointers."""
+    """Serves input files and the output files of jobs.
+
+    Output files are assembled from the results that the table refers to.
+    """
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         ]
 
     def create(self, req: Req) -> Reply:
-        """Take an upload; refuse it whole when a line is wrong."""
+        """Store an uploaded file; reject it if any line is invalid."""
         team = self._parts.team_of(req)
         upload_reader = UploadReader(
             req,
@@ -58,13 +61,13 @@
 
         upload = upload_reader.read(accept)
         if upload.accepted is None:
-            raise BadRequest('the upload has no file', param='file')
+            raise BadRequest('the upload contains no file', param='file')
         if upload.fields.get('purpose') != PURPOSE:
             raise BadRequest('purpose has to be batch', param='purpose')
         return json_reply(_file_entry(upload.accepted))
 
     def page(self, req: Req) -> Reply:
-        """List the team's files."""
+        """List the input files of the team."""
         rows = self._files.names(self._parts.team_of(req))
         listed = [_row_entry(row) for row in rows]
         return json_reply(
@@ -79,7 +82,7 @@
         return json_reply(_file_entry(self._files.get(team, name)))
 
     def read(self, req: Req, name: str) -> Reply:
-        """Return a file's lines; of an output, those committed so far."""
+        """Return a file's lines; for an output file, those committed so far."""
         team = self._parts.team_of(req)
         headers = [('Content-Type', JSONL)]
         if name.startswith(OUTPUT_PREFIX):
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -1,11 +1,14 @@
-"""Completions and models: the OpenAI-compatible online interface."""
+"""OpenAI-compatible online interface: completions and models."""
 
 from collections.abc import Iterator
 from typing import Any
 
 from cactusridge import wire
-from cactusridge.entry.answering import answer_headers, begin_answer
-from cactusridge.entry.request_fields import passed_headers, read_fields
+from cactusridge.entry.answering import open_response, response_headers
+from cactusridge.entry.request_fields import (
+    forwarded_headers,
+    read_request_fields,
+)
 from cactusridge.errors import BadRequest, CactusridgeError
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
@@ -20,19 +23,19 @@
 ERROR_EVENT = b'data: %b\n\n'
 
 
-class AnswerBroken(Exception):
-    """Ends a streamed answer without its closing chunk."""
+class StreamBroken(Exception):
+    """Ends a streamed response without its closing chunk."""
 
 
-def prefix_of(message: dict[str, Any]) -> bytes:
-    """Return the first characters of the prompt, to route by."""
+def routing_prefix(message: dict[str, Any]) -> bytes:
+    """Return the first PREFIX_CHARS of the prompt, for prefix routing."""
     if isinstance(message.get('prompt'), str):
         return message['prompt'][:PREFIX_CHARS].encode()
     return wire.encode(message.get('messages'))[:PREFIX_CHARS]
 
 
-def check_message(message: Any) -> dict[str, Any]:
-    """Return ``message`` if it is a request for a model."""
+def validate_message(message: Any) -> dict[str, Any]:
+    """Return ``message`` if it is a valid request; raise BadRequest."""
     if not isinstance(message, dict):
         raise BadRequest('the body has to be a JSON object')
     if not isinstance(message.get('model'), str):
@@ -43,10 +46,10 @@
 
 
 class OnlineApi:
-    """Answers online requests for models."""
+    """Serves online requests for models."""
 
     def __init__(self, parts: Parts) -> None:
-        """Serve with ``parts``."""
+        """Serve with the components ``parts``."""
         self._parts = parts
 
     def routes(self) -> list[Route]:
@@ -59,13 +62,13 @@
         ]
 
     def complete(self, req: Req) -> Reply:
-        """Answer a completion, streamed or whole."""
+        """Serve a completion, streamed or as one body."""
         caller = self._parts.access.caller(req.header('Authorization'))
         raw = req.body()
-        message = check_message(wire.decode(raw))
-        self._check_shape(req, message)
+        message = validate_message(wire.decode(raw))
+        self._validate_prompt(req, message)
         service = self._parts.catalog.model(message['model'], caller.team)
-        fields = read_fields(
+        fields = read_request_fields(
             req,
             service,
             self._parts.tree,
@@ -79,19 +82,19 @@
             work=fields.work,
             method='POST',
             path=req.path,
-            headers=passed_headers(req),
+            headers=forwarded_headers(req),
             body=raw,
             deadline_at=fields.deadline_at,
             repeatable=service.settings.repeatable,
             streamed=streamed,
             buffering=Buffering.first if streamed else Buffering.whole,
-            prefix=prefix_of(message),
+            prefix=routing_prefix(message),
             share=fields.share,
         )
         return self._serve(req, dispatch)
 
     def models(self, req: Req) -> Reply:
-        """List the models open to the caller's team."""
+        """List the models that the caller's team may call."""
         caller = self._parts.access.caller(req.header('Authorization'))
         found = self._parts.catalog.models(caller.team)
         listed = [_model_entry(name, service) for name, service in found]
@@ -104,15 +107,15 @@
         return json_reply(_model_entry(name, service))
 
     def _serve(self, req: Req, dispatch: Dispatch) -> Reply:
-        answering = begin_answer(self._parts, req, dispatch)
-        attempt = answering.attempt
+        response = open_response(self._parts, req, dispatch)
+        attempt = response.attempt
         if dispatch.streamed and attempt.status == OK:
-            blocks = self._stream(attempt, answering.timer)
-            return Reply(OK, answer_headers(attempt), blocks)
-        return answering.whole()
+            blocks = self._stream(attempt, response.timer)
+            return Reply(OK, response_headers(attempt), blocks)
+        return response.whole()
 
     def _stream(self, attempt: Attempt, timer: AnswerTimer) -> Iterator[bytes]:
-        """Pass the stream on; end it with an error if it breaks."""
+        """Forward the stream; send an error event if the stream breaks."""
         try:
             for block in attempt.blocks():
                 timer.block(block)
@@ -120,20 +123,20 @@
         except CactusridgeError as exc:
             timer.refused(exc)
             yield ERROR_EVENT % wire.encode({'error': exc.body()})
-            # The connection ends without the closing chunk, so that no
-            # caller takes this for a whole answer.
-            raise AnswerBroken from exc
+            # The connection is closed without the closing chunk, so that
+            # no caller takes this response for a complete one.
+            raise StreamBroken from exc
         except GeneratorExit:
             timer.abandoned()
             raise
         timer.finished(OK)
 
-    def _check_shape(self, req: Req, message: dict[str, Any]) -> None:
+    def _validate_prompt(self, req: Req, message: dict[str, Any]) -> None:
         field = 'messages' if 'chat' in req.path else 'prompt'
         kinds = list if field == 'messages' else (str, list)
         if not isinstance(message.get(field), kinds):
             raise BadRequest(
-                f'{field} is missing or of a wrong type', param=field
+                f'{field} is missing or has the wrong type', param=field
             )
 
 
--- a/cactusridge/entry/peers.py
+++ b/cactusridge/entry/peers.py
@@ -1,4 +1,4 @@
-"""What entries ask each other."""
+"""HTTP client for requests between entries."""
 
 import random
 
@@ -16,32 +16,40 @@
 from cactusridge.store.fields import Fields
 
 IO_ERRORS = (OSError, HTTPParseError)
-ASKED = 3
+MAX_QUERIED_PEERS = 3
 OK = 200
 NO_CONTENT = 204
 TIMEOUT_S = 5
 
 
 class PeerClient(PeerSource):
-    """Asks a few entries at random; never all of them."""
+    """Requests settings and status from other entries."""
 
     def __init__(self, cfg: EntrySettings, fleet: Fleet) -> None:
-        """Find entries in ``fleet``."""
+        """Send requests to the entries listed in ``fleet``."""
         self._fleet = fleet
         self._clients = Clients(cfg.connect_timeout_s, cfg.silence_timeout_s)
         self._headers = {SECRET_HEADER: cfg.internal_secret}
         self._rng = random.Random()  # noqa: S311
 
     def changes_after(self, version: int) -> Snapshot | None:
-        """Return the newest tree of a few peers, if newer than ``version``."""
+        """Return the newest tree of a few peers if newer than ``version``.
+
+        Queries MAX_QUERIED_PEERS random peers, not all of them, and ignores
+        those that cannot be reached. Returns None if no peer has a newer
+        tree.
+        """
         peers = self._fleet.peers()
-        asked = self._rng.sample(peers, min(ASKED, len(peers)))
-        found = [self._snapshot(peer, version) for peer in asked]
+        queried = self._rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
+        found = [self._snapshot(peer, version) for peer in queried]
         newer = [snapshot for snapshot in found if snapshot is not None]
         return max(newer, key=lambda each: each.version, default=None)
 
     def status(self, peer: Address) -> dict[str, object]:
-        """Return a peer's word on itself and its sidecars."""
+        """Return the status of a peer and of the sidecars that it knows.
+
+        If the request fails, returns a dictionary with only ``error``.
+        """
         try:
             return wire.decode(self._get(peer, '/internal/status'))
         except NoReplica as exc:
@@ -60,10 +68,10 @@
         return Snapshot(fields.whole('version'), nodes)
 
     def _get(self, peer: Address, path: str) -> bytes:
-        limit = PatientTimeout(TIMEOUT_S)
+        timeout = PatientTimeout(TIMEOUT_S)
         try:
             with (
-                limit,
+                timeout,
                 self._clients.send(
                     peer,
                     path,
@@ -78,7 +86,7 @@
             self._clients.drop(peer)
             raise NoReplica(f'{peer}: {exc!r}') from exc
         except PatientTimeout as exc:
-            if exc is not limit:
+            if exc is not timeout:
                 raise
             raise NoReplica(f'{peer}: {exc.described(path)}') from exc
         if status not in {OK, NO_CONTENT}:
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -1,9 +1,12 @@
-"""Plain services: calls passed on hop by hop."""
+"""Forwards calls to plain HTTP services."""
 
 from urllib.parse import quote
 
-from cactusridge.entry.answering import begin_answer
-from cactusridge.entry.request_fields import passed_headers, read_fields
+from cactusridge.entry.answering import open_response
+from cactusridge.entry.request_fields import (
+    forwarded_headers,
+    read_request_fields,
+)
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req
 from cactusridge.settings.catalog import Service
@@ -15,10 +18,12 @@
 
 
 def may_repeat(service: Service, method: str, path: str) -> bool:
-    """Tell whether a call may be sent twice; the longest route decides.
+    """Return whether a call may be retried.
 
-    Without a route only GET, HEAD and OPTIONS may: the standard says
-    that PUT and DELETE are idempotent, the service has to.
+    The matching route with the longest prefix decides. Without a matching
+    route only GET, HEAD and OPTIONS may be retried. PUT and DELETE need a
+    route: the HTTP standard defines them as idempotent, but only the
+    service can guarantee it.
     """
     matching = [
         each
@@ -31,10 +36,10 @@
 
 
 class PlainApi:
-    """Passes calls on to plain services."""
+    """Forwards calls to plain services."""
 
     def __init__(self, parts: Parts) -> None:
-        """Serve with ``parts``."""
+        """Serve with the components ``parts``."""
         self._parts = parts
 
     def routes(self) -> list[Route]:
@@ -44,10 +49,10 @@
         ]
 
     def call(self, req: Req, name: str, path: str | None) -> Reply:
-        """Pass one call on and its answer back."""
+        """Forward one call to its service and return the whole response."""
         caller = self._parts.access.caller(req.header('Authorization'))
         service = self._parts.catalog.plain(name, caller.team)
-        fields = read_fields(
+        fields = read_request_fields(
             req,
             service,
             self._parts.tree,
@@ -61,14 +66,14 @@
             work=fields.work,
             method=req.method,
             path=_with_query(target, req),
-            headers=passed_headers(req),
+            headers=forwarded_headers(req),
             body=req.body(),
             deadline_at=fields.deadline_at,
             repeatable=may_repeat(service, req.method, target),
             buffering=Buffering.whole,
             share=fields.share,
         )
-        return begin_answer(self._parts, req, dispatch).whole()
+        return open_response(self._parts, req, dispatch).whole()
 
 
 def _with_query(path: str, req: Req) -> str:
--- a/cactusridge/entry/request_fields.py
+++ b/cactusridge/entry/request_fields.py
@@ -1,4 +1,4 @@
-"""What a caller says of its request in headers."""
+"""Reads the deadline and work class from a request's headers."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 DEADLINE_HEADER = 'X-Deadline-S'
 CLASS_HEADER = 'X-Request-Class'
 MAX_DEADLINE_S = 86_400
-DROPPED = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     (
         'authorization',
         'connection',
@@ -39,40 +39,43 @@
 
 
 class RequestFields(NamedTuple):
-    """A request's class, deadline (monotonic) and share."""
+    """A request's work class, deadline and its team's share.
+
+    ``deadline_at`` is a time of the monotonic clock, in seconds.
+    """
 
     work: WorkClass
     deadline_at: float
     share: float
 
 
-def read_fields(
+def read_request_fields(
     req: Req,
     service: Service,
     tree: SettingsTree,
     team: str,
     clock: Clock,
 ) -> RequestFields:
-    """Return the fields of ``req``; raise BadRequest for a wrong one."""
-    seconds = _seconds(req, service)
+    """Return the fields of ``req``; raise BadRequest if one is invalid."""
+    seconds = _deadline_s(req, service)
     team_settings = tree.model(f'/{NodeKind.team}s/{team}')
     return RequestFields(
-        _work(req),
+        _work_class(req),
         clock.monotonic() + seconds,
         team_settings.share if team_settings else 1,
     )
 
 
-def passed_headers(req: Req) -> tuple[tuple[str, str], ...]:
-    """Return the headers that go on to the upstream."""
+def forwarded_headers(req: Req) -> tuple[tuple[str, str], ...]:
+    """Return the request headers to forward to the upstream."""
     return tuple(
         (name, text)
         for name, text in req.headers().items()
-        if name not in DROPPED
+        if name not in NOT_FORWARDED_HEADERS
     )
 
 
-def _seconds(req: Req, service: Service) -> float:
+def _deadline_s(req: Req, service: Service) -> float:
     text = req.header(DEADLINE_HEADER)
     if not text:
         return service.settings.deadline_s
@@ -82,13 +85,14 @@
         seconds = 0
     if not 0 < seconds <= MAX_DEADLINE_S:
         raise BadRequest(
-            f'{DEADLINE_HEADER} has to be seconds over 0',
+            f'{DEADLINE_HEADER} has to be a number of seconds over 0 and'
+            ' at most one day',
             param=DEADLINE_HEADER,
         )
     return seconds
 
 
-def _work(req: Req) -> WorkClass:
+def _work_class(req: Req) -> WorkClass:
     text = req.header(CLASS_HEADER, WorkClass.online.value)
     try:
         return WorkClass(text)
