--- a/cactusridge/cli/__main__.py
+++ b/cactusridge/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line."""
+"""Starts the ``cactusridge`` command line tool."""
 
 from gevent import monkey
 
@@ -11,7 +11,7 @@
 
 
 def run() -> None:
-    """Run the command line as a program."""
+    """Run the command line tool and exit with its status."""
     sys.exit(main(sys.argv[1:], Environment()))
 
 
--- a/cactusridge/cli/api.py
+++ b/cactusridge/cli/api.py
@@ -1,4 +1,4 @@
-"""Calls from the command line to an entry."""
+"""HTTP client of the command line for the API of an entry."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -8,26 +8,26 @@
 from geventhttpclient.response import HTTPParseError
 
 from cactusridge import wire
-from cactusridge.cli.failures import ServerSaidNo, Unreachable
+from cactusridge.cli.failures import ErrorResponse, Unreachable
 from cactusridge.http.client import Address, Clients
 
-CONNECT_S = 3
-SILENCE_S = 60
+CONNECT_TIMEOUT_S = 3
+READ_TIMEOUT_S = 60
 DEFAULT_PORT = 8400
 IO_ERRORS = (OSError, HTTPParseError)
 
 
 class Api:
-    """One entry, spoken to with one token."""
+    """Sends requests to one entry with one token."""
 
     def __init__(self, url: str, token: str) -> None:
-        """Reach the entry at ``url``, whose host is an IP number."""
+        """Connect to the entry at ``url``, whose host is an IP address."""
         parts = urlsplit(url)
         host = parts.hostname or ''
         self.url = url
         self._address = Address(host, parts.port or DEFAULT_PORT)
         self._headers = {'Authorization': f'Bearer {token}'}
-        self._clients = Clients(CONNECT_S, SILENCE_S)
+        self._clients = Clients(CONNECT_TIMEOUT_S, READ_TIMEOUT_S)
 
     def call(
         self,
@@ -36,7 +36,11 @@
         message: Any = None,
         headers: dict[str, str] | None = None,
     ) -> Any:
-        """Return the JSON of a call; raise ServerSaidNo or Unreachable."""
+        """Return the decoded JSON response of a request.
+
+        Raises ErrorResponse for an error response and Unreachable if the
+        connection fails.
+        """
         raw = b'' if message is None else wire.encode(message)
         return wire.decode(self.raw(method, path, raw, headers))
 
@@ -47,14 +51,18 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> bytes:
-        """Return the body of a call."""
-        whole = {**self._headers, **(headers or {})}
+        """Return the response body of a request.
+
+        Raises ErrorResponse for an error response and Unreachable if the
+        connection fails.
+        """
+        all_headers = {**self._headers, **(headers or {})}
         try:
             with self._clients.send(
                 self._address,
                 path,
                 body,
-                whole,
+                all_headers,
                 method,
             ) as resp:
                 answer = resp.read()
@@ -62,11 +70,15 @@
         except IO_ERRORS as exc:
             raise self._unreachable(exc) from exc
         if status >= HTTPStatus.BAD_REQUEST:
-            raise ServerSaidNo(status, _error_of(answer))
+            raise ErrorResponse(status, _parse_error(answer))
         return answer
 
     def events(self, path: str, message: Any) -> Iterator[Any]:
-        """Yield the JSON of each event of a streamed answer."""
+        """Yield the decoded JSON of each event of a streamed response.
+
+        Raises ErrorResponse for an error response or an error event, and
+        Unreachable if the connection fails.
+        """
         raw = wire.encode(message)
         try:
             resp = self._clients.send(
@@ -78,11 +90,11 @@
         except IO_ERRORS as exc:
             raise self._unreachable(exc) from exc
         if resp.status_code != HTTPStatus.OK:
-            error = _error_of(resp.read())
-            raise ServerSaidNo(resp.status_code, error)
-        yield from self._parsed(resp)
+            error = _parse_error(resp.read())
+            raise ErrorResponse(resp.status_code, error)
+        yield from self._parse_events(resp)
 
-    def _parsed(self, resp: Any) -> Iterator[Any]:
+    def _parse_events(self, resp: Any) -> Iterator[Any]:
         while True:
             try:
                 line = resp.readline(b'\n\n')
@@ -94,16 +106,16 @@
             found = wire.decode(text)
             error = found.get('error')
             if error is not None:
-                raise ServerSaidNo(HTTPStatus.BAD_GATEWAY, error)
+                raise ErrorResponse(HTTPStatus.BAD_GATEWAY, error)
             yield found
 
     def _unreachable(self, exc: Exception) -> Unreachable:
         return Unreachable(
-            f'{self.url} does not answer: {exc}',
+            f'{self.url} cannot be reached: {exc}',
             'check --url or CACTUSRIDGE_URL, or try another entry',
         )
 
 
-def _error_of(body: bytes) -> dict[str, Any]:
+def _parse_error(body: bytes) -> dict[str, Any]:
     found = wire.decode(body)
     return found['error'] if isinstance(found, dict) else {}
--- a/cactusridge/cli/app.py
+++ b/cactusridge/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: options that all commands share, errors, statuses."""
+"""The command line tool: shared options, error reports, exit statuses."""
 
 import contextlib
 from typing import Annotated
@@ -34,18 +34,18 @@
     ctx: typer.Context,
     url: Annotated[
         str,
-        typer.Option(help='An entry; or CACTUSRIDGE_URL.'),
+        typer.Option(help='The URL of an entry; overrides CACTUSRIDGE_URL.'),
     ] = '',
     token: Annotated[
         str,
-        typer.Option(help='Your token; or CACTUSRIDGE_TOKEN.'),
+        typer.Option(help='Your token; overrides CACTUSRIDGE_TOKEN.'),
     ] = '',
     output: Annotated[
         OutputFormat,
-        typer.Option(help='How to show what is found.'),
+        typer.Option(help='The output format.'),
     ] = OutputFormat.table,
 ) -> None:
-    """Take what all commands share."""
+    """Read the options that all commands share."""
     env: Environment = ctx.obj
     found_url = url or env.variables.get('CACTUSRIDGE_URL', DEFAULT_URL)
     found_token = token or env.variables.get('CACTUSRIDGE_TOKEN', '')
@@ -65,15 +65,15 @@
 
 
 def report_failure(exc: Exception, env: Environment) -> ExitStatus:
-    """Write what went wrong and what to do; return the exit status."""
+    """Write the error and a hint to stderr; return the exit status."""
     message, hint, status = str(exc), '', ExitStatus.failure
     if isinstance(exc, CommandFailed):
         hint, status = exc.hint, exc.exit_status
     elif isinstance(exc, TyperException):
-        # A usage mistake; the library's own text names the option.
+        # A usage error; the message of typer names the option.
         hint, status = 'try --help', ExitStatus.usage
     else:
-        message = f'a fault of this program: {exc!r}'
+        message = f'internal error: {exc!r}'
     env.stderr.write(f'cactusridge: {message}\n')
     if hint:
         env.stderr.write(f'  {hint}\n')
--- a/cactusridge/cli/failures.py
+++ b/cactusridge/cli/failures.py
@@ -1,4 +1,4 @@
-"""What a command may fail of, and the exit status for each."""
+"""Errors of commands and the exit status of each."""
 
 from http import HTTPStatus
 from typing import Any
@@ -6,46 +6,46 @@
 from cactusridge.errors import CactusridgeError
 from cactusridge.exits import ExitStatus
 
-STATUSES = (
+STATUS_BY_CODE = (
     ('settings_conflict', ExitStatus.conflict),
     ('invalid_settings', ExitStatus.bad_settings),
 )
 
 
 class CommandFailed(CactusridgeError):
-    """A command that could not be carried out."""
+    """The command failed."""
 
     exit_status = ExitStatus.failure
 
     def __init__(self, message: str, hint: str = '') -> None:
-        """Keep the text and what to do next."""
+        """Record the message and a hint on what to do next."""
         super().__init__(message)
         self.hint = hint
 
 
 class Unreachable(CommandFailed):
-    """No entry answers."""
+    """The entry cannot be reached."""
 
     exit_status = ExitStatus.unreachable
 
 
-class NothingSet(CommandFailed):
-    """Nothing is set at the path."""
+class SettingsNotFound(CommandFailed):
+    """No settings exist at the path."""
 
     exit_status = ExitStatus.not_found
 
 
-class UsageMistake(CommandFailed):
-    """The command line is wrong."""
+class UsageError(CommandFailed):
+    """The command line is invalid."""
 
     exit_status = ExitStatus.usage
 
 
-class ServerSaidNo(CommandFailed):
-    """An entry refused the request."""
+class ErrorResponse(CommandFailed):
+    """The entry responded with an error."""
 
     def __init__(self, status: int, error: dict[str, Any]) -> None:
-        """Keep the answer; the hint follows from its code."""
+        """Record the response and derive the hint and exit status from it."""
         super().__init__(str(error.get('message')), _hint(status, error))
         self.http_status = status
         self.error = error
@@ -53,7 +53,7 @@
 
 
 def _exit_status(status: int, error: dict[str, Any]) -> ExitStatus:
-    for code, found in STATUSES:
+    for code, found in STATUS_BY_CODE:
         if error.get('code') == code:
             return found
     if status == HTTPStatus.NOT_FOUND:
@@ -65,12 +65,14 @@
 
 def _hint(status: int, error: dict[str, Any]) -> str:
     if error.get('code') == 'settings_conflict':
-        return 'read it again with `settings get` and repeat the change'
+        return (
+            'read the settings again with `settings get` and repeat the change'
+        )
     if status in {HTTPStatus.UNAUTHORIZED, HTTPStatus.FORBIDDEN}:
         return 'check --token or CACTUSRIDGE_TOKEN'
     seconds = error.get('retry_after_s')
     if seconds:
         return f'try again in {seconds:.0f} s'
     if error.get('not_run') is None:
-        return 'it may have taken effect: look before you repeat it'
+        return 'the request may have taken effect: check before you repeat it'
     return ''
--- a/cactusridge/cli/job_commands.py
+++ b/cactusridge/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""``cactusridge jobs``: submit, watch, cancel and read jobs."""
+"""``cactusridge jobs``: submit, follow, cancel and read batch jobs."""
 
 import secrets
 import time
@@ -9,23 +9,23 @@
 from rich.progress import Progress
 
 from cactusridge import wire
-from cactusridge.cli.failures import UsageMistake
-from cactusridge.cli.session import Session, session_of
+from cactusridge.cli.failures import UsageError
+from cactusridge.cli.session import Session, get_session
 
-app = typer.Typer(no_args_is_help=True, help='Submit and watch batch jobs.')
+app = typer.Typer(no_args_is_help=True, help='Submit and follow batch jobs.')
 
 POLL_S = 0.5
 CHAT = '/v1/chat/completions'
 COMPLETIONS = '/v1/completions'
 BOUNDARY_BYTES = 16
-FINAL = frozenset(('completed', 'cancelled'))
+FINAL_STATES = frozenset(('completed', 'cancelled'))
 JobArg = Annotated[str, typer.Argument(help='The id of a job.')]
 
 
 @app.command('list')
 def list_jobs(ctx: typer.Context) -> None:
-    """Show the team's jobs."""
-    session = session_of(ctx)
+    """List the jobs of your team."""
+    session = get_session(ctx)
     found = session.api.call('GET', '/v1/batches?limit=100')
     session.show([_row(job) for job in found['data']])
 
@@ -33,7 +33,7 @@
 @app.command('show')
 def show_job(ctx: typer.Context, job: JobArg) -> None:
     """Show one job."""
-    session = session_of(ctx)
+    session = get_session(ctx)
     session.show(session.api.call('GET', f'/v1/batches/{job}'))
 
 
@@ -43,22 +43,26 @@
     file: Annotated[str, typer.Argument(help='A JSONL file of requests.')],
     window: Annotated[
         str,
-        typer.Option(help='When it is due, such as 24h or 15m.'),
+        typer.Option(help='The time until the job is due, such as 24h or 15m.'),
     ] = '24h',
     job_class: Annotated[
         str,
-        typer.Option('--class', help='DEPLOYMENT/JOB of the settings.'),
+        typer.Option(
+            '--class', help='The job class in the settings, as DEPLOYMENT/JOB.'
+        ),
     ] = '',
     key: Annotated[
         str,
-        typer.Option(help='Names this job; sent again, it stays one job.'),
+        typer.Option(
+            help='Idempotency key; submitting it again starts no second job.'
+        ),
     ] = '',
 ) -> None:
     """Submit a job and print its id.
 
     Example: cactusridge jobs submit lines.jsonl --window 2h
     """
-    session = session_of(ctx)
+    session = get_session(ctx)
     sent = _upload(session, file)
     message: dict[str, Any] = {
         'input_file_id': sent['id'],
@@ -69,25 +73,27 @@
         message['metadata'] = {'job': job_class}
     headers = {'Idempotency-Key': key} if key else {}
     job = session.api.call('POST', '/v1/batches', message, headers)
-    session.say(job['id'])
+    session.print_line(job['id'])
 
 
 @app.command('cancel')
 def cancel_job(ctx: typer.Context, job: JobArg) -> None:
-    """Cancel a job; results committed before stay readable."""
-    session = session_of(ctx)
+    """Cancel a job; results committed before then stay readable."""
+    session = get_session(ctx)
     found = session.api.call('POST', f'/v1/batches/{job}/cancel', {})
-    session.say(f'{job} is {found["status"]}')
+    session.print_line(f'{job} is {found["status"]}')
 
 
 @app.command('results')
 def job_results(
     ctx: typer.Context,
     job: JobArg,
-    errors: Annotated[bool, typer.Option(help='The failed items.')] = False,
+    errors: Annotated[
+        bool, typer.Option(help='Write the failed items instead.')
+    ] = False,
 ) -> None:
-    """Write the results committed so far, one JSON line each."""
-    session = session_of(ctx)
+    """Write the results committed so far, one JSON object per line."""
+    session = get_session(ctx)
     kind = 'err' if errors else 'out'
     path = f'/v1/files/file-{kind}-{job}/content'
     session.env.stdout.write(session.api.raw('GET', path).decode())
@@ -95,12 +101,12 @@
 
 @app.command('wait')
 def wait_job(ctx: typer.Context, job: JobArg) -> None:
-    """Wait until a job has ended; a bar shows how far it is."""
-    session = session_of(ctx)
+    """Wait until a job has ended and show a progress bar."""
+    session = get_session(ctx)
     console = Console(file=session.env.stderr)
     with Progress(console=console, disable=not console.is_terminal) as progress:
         found = _follow(session, job, progress)
-    session.say(f'{job} is {found["status"]}')
+    session.print_line(f'{job} is {found["status"]}')
 
 
 def _follow(session: Session, job: str, progress: Progress) -> dict[str, Any]:
@@ -110,7 +116,7 @@
         counts = found['request_counts']
         done = counts['completed'] + counts['failed']
         progress.update(task, total=counts['total'], completed=done)
-        if found['status'] in FINAL:
+        if found['status'] in FINAL_STATES:
             return found
         time.sleep(POLL_S)
 
@@ -143,7 +149,10 @@
 
 
 def _endpoint(file: str) -> str:
-    """Return the url of the first line; the entry checks them all."""
+    """Return the endpoint of the file's first line.
+
+    The entry checks that all lines have the same url.
+    """
     first = _read(file).split(b'\n', 1)[0]
     url = wire.decode(first).get('url')
     return COMPLETIONS if url == COMPLETIONS else CHAT
@@ -154,4 +163,4 @@
         with open(file, 'rb') as source:
             return source.read()
     except OSError as exc:
-        raise UsageMistake(f'cannot read {file}: {exc}') from exc
+        raise UsageError(f'cannot read {file}: {exc}') from exc
--- a/cactusridge/cli/session.py
+++ b/cactusridge/cli/session.py
@@ -1,4 +1,4 @@
-"""What every command has at hand."""
+"""The context that every command uses."""
 
 from typing import Any, NamedTuple
 
@@ -10,21 +10,21 @@
 
 
 class Session(NamedTuple):
-    """Streams, the entry, and how to show what was found."""
+    """The standard streams, the API client and the output format."""
 
     env: Environment
     api: Api
     output: OutputFormat
 
     def show(self, found: Any) -> None:
-        """Write ``found`` in the format asked for."""
+        """Write ``found`` to stdout in the output format."""
         FORMATTERS[self.output].write(found, self.env.stdout)
 
-    def say(self, text: str) -> None:
-        """Write one line."""
+    def print_line(self, text: str) -> None:
+        """Write one line to stdout."""
         self.env.stdout.write(f'{text}\n')
 
 
-def session_of(ctx: typer.Context) -> Session:
+def get_session(ctx: typer.Context) -> Session:
     """Return the session of a command."""
     return ctx.obj
--- a/cactusridge/cli/settings_commands.py
+++ b/cactusridge/cli/settings_commands.py
@@ -8,8 +8,8 @@
 import typer
 import yaml
 
-from cactusridge.cli.failures import NothingSet, UsageMistake
-from cactusridge.cli.session import Session, session_of
+from cactusridge.cli.failures import SettingsNotFound, UsageError
+from cactusridge.cli.session import Session, get_session
 
 app = typer.Typer(no_args_is_help=True, help='Read and change settings.')
 
@@ -17,20 +17,22 @@
 PathArg = Annotated[str, typer.Argument(help='A path such as /teams/demo.')]
 IfVersion = Annotated[
     int | None,
-    typer.Option('--if-version', help='Only if the path has this version.'),
+    typer.Option(
+        '--if-version', help='Change the path only if it has this version.'
+    ),
 ]
 
 
 @app.command('get')
 def show_settings(ctx: typer.Context, path: PathArg) -> None:
-    """Show what is set at a path.
+    """Show the settings at a path.
 
     Example: cactusridge settings get /teams/demo/deployments/main
     """
-    session = session_of(ctx)
+    session = get_session(ctx)
     found = read(session, path)
     if found['raw'] is None:
-        raise NothingSet(f'nothing is set at {path}')
+        raise SettingsNotFound(f'no settings exist at {path}')
     session.show({VERSION: found[VERSION], 'settings': found['raw']})
 
 
@@ -41,12 +43,12 @@
     file: Annotated[str, typer.Argument(help='A YAML file, or -.')],
     if_version: IfVersion = None,
 ) -> None:
-    """Replace what is set at a path; shows the difference first.
+    """Replace the settings at a path; shows the difference first.
 
     Example: cactusridge settings set /teams/demo/deployments/main main.yaml
     """
-    session = session_of(ctx)
-    raw = _parsed(_text_of(session, file))
+    session = get_session(ctx)
+    raw = _parse_yaml(_text_of(session, file))
     write(session, path, raw, if_version)
 
 
@@ -56,20 +58,20 @@
     path: PathArg,
     if_version: IfVersion = None,
 ) -> None:
-    """Remove what is set at a path."""
-    write(session_of(ctx), path, None, if_version)
+    """Remove the settings at a path."""
+    write(get_session(ctx), path, None, if_version)
 
 
 @app.command('edit')
 def edit_settings(ctx: typer.Context, path: PathArg) -> None:
-    """Change what is set at a path in your editor ($EDITOR)."""
-    session = session_of(ctx)
+    """Edit the settings at a path in your editor ($EDITOR)."""
+    session = get_session(ctx)
     found = read(session, path)
     text = click.edit(_yaml(found['raw'] or {}), extension='.yaml')
     if text is None:
-        session.say('unchanged')
+        session.print_line('unchanged')
         return
-    write(session, path, _parsed(text), found[VERSION])
+    write(session, path, _parse_yaml(text), found[VERSION])
 
 
 @app.command('diff')
@@ -79,16 +81,16 @@
     file: Annotated[str, typer.Argument(help='A YAML file, or -.')],
 ) -> None:
     """Show what ``set`` with this file would change."""
-    session = session_of(ctx)
+    session = get_session(ctx)
     found = read(session, path)
-    raw = _parsed(_text_of(session, file))
-    session.say(difference(found['raw'], raw) or 'no difference')
+    raw = _parse_yaml(_text_of(session, file))
+    session.print_line(difference(found['raw'], raw) or 'no difference')
 
 
 @app.command('history')
 def settings_history(ctx: typer.Context, path: PathArg) -> None:
-    """Show who changed a path, or one below it, and when."""
-    session = session_of(ctx)
+    """Show who changed a path, or a path below it, and when."""
+    session = get_session(ctx)
     found = session.api.call('GET', f'/admin/history{path}')
     rows = [
         {key: change[key] for key in (VERSION, 'path', 'who', 'when', 'raw')}
@@ -99,24 +101,24 @@
 
 @app.command('status')
 def settings_status(ctx: typer.Context) -> None:
-    """Show which version is in force on each process."""
-    session = session_of(ctx)
+    """Show the settings version in force on each process."""
+    session = get_session(ctx)
     found = session.api.call('GET', '/admin/status')
     rows = [
         {
             'role': kind,
             'address': address,
-            VERSION: told.get(VERSION),
-            'state': told.get('state', told.get('error')),
+            VERSION: process.get(VERSION),
+            'state': process.get('state', process.get('error')),
         }
         for kind in ('entries', 'sidecars')
-        for address, told in sorted(found[kind].items())
+        for address, process in sorted(found[kind].items())
     ]
     session.show(rows)
 
 
 def read(session: Session, path: str) -> dict[str, Any]:
-    """Return what is stored at ``path``."""
+    """Return the stored settings and version of ``path``."""
     return session.api.call('GET', f'/admin/settings{path}')
 
 
@@ -126,13 +128,16 @@
     raw: Any,
     if_version: int | None,
 ) -> None:
-    """Set ``path`` on condition of the version read, after a diff."""
+    """Show a diff, then set ``path`` if its version is ``if_version``.
+
+    An ``if_version`` of None means the version that is stored now.
+    """
     found = read(session, path)
     version = found[VERSION] if if_version is None else if_version
-    session.say(difference(found['raw'], raw) or 'no difference')
+    session.print_line(difference(found['raw'], raw) or 'no difference')
     message = {'raw': raw, 'if_version': version}
     change = session.api.call('PUT', f'/admin/settings{path}', message)
-    session.say(f'{path} is at version {change[VERSION]}')
+    session.print_line(f'{path} is at version {change[VERSION]}')
 
 
 def difference(old: Any, new: Any) -> str:
@@ -160,11 +165,11 @@
         with open(os.fspath(file)) as source:
             return source.read()
     except OSError as exc:
-        raise UsageMistake(f'cannot read {file}: {exc}') from exc
+        raise UsageError(f'cannot read {file}: {exc}') from exc
 
 
-def _parsed(text: str) -> Any:
+def _parse_yaml(text: str) -> Any:
     try:
         return yaml.safe_load(text)
     except yaml.YAMLError as exc:
-        raise UsageMistake(f'not YAML: {exc}') from exc
+        raise UsageError(f'the input is not valid YAML: {exc}') from exc
--- a/cactusridge/cli/show_commands.py
+++ b/cactusridge/cli/show_commands.py
@@ -1,54 +1,54 @@
-"""Commands that show: deployments, services, hosts, chat, report."""
+"""Commands that show deployments, services, hosts, chats and reports."""
 
 from typing import Annotated, Any
 
 import typer
 
-from cactusridge.cli.session import Session, session_of
+from cactusridge.cli.session import Session, get_session
 from cactusridge.output.burn_page import write_page
 
 
 def deployments(ctx: typer.Context) -> None:
-    """Show the deployments in force that you may see."""
-    session = session_of(ctx)
+    """List the deployments that you may see."""
+    session = get_session(ctx)
     session.show(_paths(session, 'deployments'))
 
 
 def services(ctx: typer.Context) -> None:
-    """Show the services in force that you may see."""
-    session = session_of(ctx)
+    """List the services that you may see."""
+    session = get_session(ctx)
     session.show(_paths(session, 'services'))
 
 
 def hosts(ctx: typer.Context) -> None:
-    """Show entries and sidecars and what is made of them."""
-    session = session_of(ctx)
+    """List the entries and sidecars with their state."""
+    session = get_session(ctx)
     found = session.api.call('GET', '/admin/status')
     rows = [
         {
             'role': kind,
             'address': address,
-            'zone': told.get('zone'),
-            'state': told.get('state', told.get('error')),
-            'services': told.get('services', ''),
+            'zone': process.get('zone'),
+            'state': process.get('state', process.get('error')),
+            'services': process.get('services', ''),
         }
         for kind in ('entries', 'sidecars')
-        for address, told in sorted(found[kind].items())
+        for address, process in sorted(found[kind].items())
     ]
     session.show(rows)
 
 
 def chat(
     ctx: typer.Context,
-    model: Annotated[str, typer.Argument(help='A model, see `services`.')],
-    text: Annotated[str, typer.Argument(help='What to say.')],
+    model: Annotated[str, typer.Argument(help='The name of a model.')],
+    text: Annotated[str, typer.Argument(help='The message to the model.')],
     max_tokens: Annotated[int, typer.Option(min=1)] = 256,
 ) -> None:
-    """Stream one answer, for a first try.
+    """Send one message to a model and stream the response.
 
     Example: cactusridge chat yazman 'satır bir'
     """
-    session = session_of(ctx)
+    session = get_session(ctx)
     message = {
         'model': model,
         'messages': [{'role': 'user', 'content': text}],
@@ -59,10 +59,12 @@
         for choice in event['choices']:
             session.env.stdout.write(choice['delta'].get('content') or '')
             session.env.stdout.flush()
-    session.say('')
+    session.print_line('')
 
 
-report = typer.Typer(no_args_is_help=True, help='Reports for the quarter.')
+report = typer.Typer(
+    no_args_is_help=True, help='Reports on service level objectives.'
+)
 
 
 @report.command('burn')
@@ -71,7 +73,7 @@
     service: Annotated[str, typer.Option(help='The path of a service.')],
     html: Annotated[
         str,
-        typer.Option(help='Write a page with a plot to this file.'),
+        typer.Option(help='Write an HTML page with a plot to this file.'),
     ] = '',
     window: Annotated[
         str,
@@ -82,13 +84,13 @@
 
     Example: cactusridge report burn --service /teams/t/deployments/d/services/s
     """
-    session = session_of(ctx)
+    session = get_session(ctx)
     found = session.api.call(
         'GET', f'/admin/burn?service={service}&window={window}'
     )
     if html:
         write_page(found, html)
-        session.say(f'wrote {html}')
+        session.print_line(f'wrote {html}')
         return
     session.show(found)
 
--- a/cactusridge/output/__init__.py
+++ b/cactusridge/output/__init__.py
@@ -1,1 +1,1 @@
-"""How the command line shows what it found."""
+"""Output formats of the command line."""
--- a/cactusridge/output/formats.py
+++ b/cactusridge/output/formats.py
@@ -1,4 +1,4 @@
-"""Output as a table, JSON or YAML."""
+"""Writes output as a table, JSON or YAML."""
 
 import abc
 import enum
@@ -11,11 +11,12 @@
 from rich.console import Console
 from rich.table import Table
 
-WIDE = 200
+# Table width, in columns, if the output is not a terminal.
+NON_TERMINAL_WIDTH = 200
 
 
 class OutputFormat(enum.StrEnum):
-    """What ``--output`` takes."""
+    """The values of the option ``--output``."""
 
     table = 'table'
     json = 'json'
@@ -23,35 +24,35 @@
 
 
 class Formatter(abc.ABC):
-    """Writes rows or one document."""
+    """Base of the output formats."""
 
     @abc.abstractmethod
     def write(self, found: Any, stream: TextIO) -> None:
-        """Write ``found``: a list of flat rows, or a document."""
+        """Write ``found``, a list of rows or one document, to ``stream``."""
 
 
 class JsonFormatter(Formatter):
-    """Writes JSON for programs."""
+    """Writes indented JSON."""
 
     def write(self, found: Any, stream: TextIO) -> None:
-        """Write indented JSON."""
+        """Write ``found`` as JSON with a final newline."""
         json.dump(found, stream, indent=2, ensure_ascii=False)
         stream.write('\n')
 
 
 class YamlFormatter(Formatter):
-    """Writes YAML, as settings are written."""
+    """Writes YAML, the format of settings files."""
 
     def write(self, found: Any, stream: TextIO) -> None:
-        """Write YAML in block style."""
+        """Write ``found`` as YAML in block style."""
         yaml.safe_dump(found, stream, sort_keys=False, allow_unicode=True)
 
 
 class TableFormatter(Formatter):
-    """Writes rows in columns, and a document as YAML."""
+    """Writes a list of rows as a table, and one document as YAML."""
 
     def write(self, found: Any, stream: TextIO) -> None:
-        """Write a table if ``found`` is a list of rows."""
+        """Write a table if ``found`` is a list of rows, else YAML."""
         if not isinstance(found, list):
             YamlFormatter().write(found, stream)
             return
@@ -61,7 +62,7 @@
         table = Table(*found[0].keys(), box=None)
         for row in found:
             table.add_row(*(_cell(each) for each in row.values()))
-        width = None if stream.isatty() else WIDE
+        width = None if stream.isatty() else NON_TERMINAL_WIDTH
         Console(file=stream, width=width).print(table)
 
 
