--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one process, on real loopback servers."""
+"""A complete fleet in one process, with servers on the loopback."""
 
 import functools
 from typing import Any
@@ -35,7 +35,10 @@
 
 
 class Rig(RigCalls):
-    """Platform, engines, sidecars and entries; links may be disturbed."""
+    """A platform, engines, sidecars and entries for tests.
+
+    Tests can disturb the links to sidecars and upstreams.
+    """
 
     def __init__(
         self,
@@ -45,8 +48,9 @@
     ) -> None:
         """Start everything and wait until it is ready.
 
-        Sidecars give up an upstream's answer after ``read_timeout_s``
-        without a byte; a whole answer comes at its end.
+        Sidecars abort a request after ``read_timeout_s`` seconds without
+        a byte from the upstream. An unstreamed response sends its first
+        byte only at its end.
         """
         self.read_timeout_s = read_timeout_s
         self.http = Clients(2, 30)
@@ -70,14 +74,14 @@
         self.wait_ready()
 
     def add_sidecar(self, **options: Any) -> Served:
-        """Start an engine and its sidecar; list the sidecar."""
+        """Start an engine and its sidecar, and publish the sidecar."""
         checks = options.pop('checks_fencing', False)
         engine = EngineStandIn('yazman', EngineSpeed(), checks)
         self.engines.append(serve(engine, engine, self._ports.give()))
         return self.start_sidecar(self.engines[-1].address, **options)
 
     def start_sidecar(self, engine: Address, **options: Any) -> Served:
-        """Start a sidecar in front of an engine."""
+        """Start a sidecar for an engine and for the plain service."""
         to_engine = self.forward(engine)
         plain = self.forward(self.plain.address)
         cfg = SidecarSettings.made_of(
@@ -102,12 +106,13 @@
         sidecar = Sidecar(cfg, SystemClock())
         served = serve(sidecar, sidecar.app, cfg.address)
         self.sidecars.append(served)
-        # Entries reach it through a link that tests can disturb.
+        # Entries connect to the sidecar through a link that tests can
+        # disturb.
         self.list_host(self.forward(cfg.address), 'sidecar', 'live')
         return served
 
     def add_entry(self, **options: Any) -> Served:
-        """Start an entry; list it."""
+        """Start an entry and publish it in the host list."""
         cfg = EntrySettings.made_of(
             listen=str(self._ports.give()),
             zone='a',
@@ -135,7 +140,7 @@
         return served
 
     def kill_entry(self, served: Served) -> None:
-        """Lose an entry: nothing of it goes on, nothing is said."""
+        """Stop an entry abruptly and remove it from the host list."""
         self.entries.remove(served)
         served.server.stop(timeout=0)
         served.subject.parts.greenlets.kill()
@@ -143,18 +148,18 @@
         self.publish()
 
     def kill_sidecar(self, index: int) -> None:
-        """Lose a sidecar with everything in it."""
+        """Stop the server of a sidecar abruptly; it stays in the host list."""
         self.sidecars[index].server.stop(timeout=0)
 
     def restart_sidecar(self, index: int) -> None:
-        """Lose a sidecar and start another at its address."""
+        """Stop a sidecar abruptly and start a new one at its address."""
         old = self.sidecars[index]
         old.server.stop(timeout=0)
         sidecar = Sidecar(old.subject.cfg, SystemClock())
         self.sidecars[index] = serve(sidecar, sidecar.app, old.address)
 
     def leave_only(self, index: int) -> None:
-        """Take every sidecar but one off the list; stop the others."""
+        """Stop every sidecar but one and wait until the entries know it."""
         for number, served in enumerate(self.sidecars):
             if number != index:
                 served.server.stop(timeout=0)
@@ -169,31 +174,31 @@
             )
 
     def let_crash(self, back_s: float) -> None:
-        """Let engines that a prompt ends be gone for ``back_s`` seconds."""
+        """Make crashed engines unreachable for ``back_s`` seconds."""
         for engine in self.engines:
             crash = functools.partial(self._crash, engine, back_s)
             engine.subject.on_crash = crash
 
     def crashes(self) -> int:
-        """Return how often a prompt has ended an engine."""
+        """Return how often a prompt has crashed an engine."""
         return sum(engine.subject.crashes for engine in self.engines)
 
     def later(self, seconds: float, action: Any) -> None:
-        """Do something while a call is under way."""
+        """Run ``action`` after ``seconds``, while a call is in flight."""
         gevent.spawn_later(seconds, action)
 
     def forward(self, target: Address) -> Address:
-        """Put a link that can be disturbed before ``target``."""
+        """Start a link to ``target`` that tests can disturb."""
         forwarder = Forwarder(target)
         self.forwarders.append(forwarder)
         return forwarder.start()
 
     def links(self, address: Address) -> list[Forwarder]:
-        """Return the links that lead to ``address``."""
+        """Return the links whose target is ``address``."""
         return [each for each in self.forwarders if each.target == address]
 
     def list_host(self, address: Address, role: str, state: str) -> None:
-        """Put a host on the platform's list."""
+        """Add a host to the platform's host list, or replace it."""
         self.hosts[str(address)] = {
             'address': str(address),
             'zone': 'a',
@@ -204,7 +209,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Let the platform show the list now."""
+        """Publish the host list on the platform."""
         self.platform.hosts = [dict(host) for host in self.hosts.values()]
 
     def wait_ready(self) -> None:
@@ -217,7 +222,7 @@
         wait_for('ready', lambda: self.ready(entry))
 
     def ready(self, entry: Entry) -> bool:
-        """Tell whether an entry knows what there is."""
+        """Return whether an entry has the settings and all sidecars."""
         known = len(entry.parts.fleet.replicas(YAZMAN))
         listed = [each['role'] for each in self.hosts.values()]
         version = self.platform.table.rows['settings/head'][0]['version']
@@ -225,7 +230,7 @@
         return in_force and known == listed.count('sidecar')
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all servers and links."""
         for served in self.entries:
             served.subject.parts.greenlets.kill()
         for served in (*self.entries, *self.sidecars, *self.engines):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, run in this process against a fleet."""
+"""Runs the command line in the test process against a test fleet."""
 
 import io
 import json
@@ -28,10 +28,10 @@
 
 
 class TestCli(RigCase):
-    """Commands, their output and their exit statuses."""
+    """Checks the output and the exit status of each command."""
 
     def run_cli(self, *args: str, token: str = 'demo', stdin: str = ''):
-        """Return the exit status, the output and the errors."""
+        """Return the exit status, the standard output and the errors."""
         env = Environment(
             stdin=io.StringIO(stdin),
             stdout=io.StringIO(),
@@ -45,7 +45,7 @@
         return status, env.stdout.getvalue(), env.stderr.getvalue()
 
     def file(self, text: str) -> str:
-        """Return the name of a file with ``text``."""
+        """Return the name of a temporary file that contains ``text``."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = Path(folder.name) / 'file'
@@ -53,7 +53,7 @@
         return str(path)
 
     def test_settings_get_set_diff_history(self):
-        """A change is shown, made, and found in the history."""
+        """A change appears in the diff, takes effect and is in the history."""
         file = self.file('description: new\n')
         status, out, _ = self.run_cli('settings', 'diff', MAIN, file)
         self.assertEqual((ExitStatus.success, True), (status, '+desc' in out))
@@ -70,7 +70,7 @@
         ('sed -i s/old/[/', ExitStatus.usage, 'old'),
     )
     def test_settings_edit(self, editor, wanted, description):
-        """What the editor leaves is set; a mistake changes nothing."""
+        """The edited text is set; invalid text changes nothing."""
         file = self.file('description: old\n')
         self.run_cli('settings', 'set', MAIN, file)
         with mock.patch.dict(os.environ, {'EDITOR': editor, 'VISUAL': ''}):
@@ -97,12 +97,12 @@
         self.assertEqual({'description': 'theirs'}, found)
 
     def test_settings_status(self):
-        """Every process is named with the version in force."""
+        """The status lists two entries and two sidecars."""
         out = self.run_cli('--output', 'json', 'settings', 'status')[1]
         self.assertEqual(4, len(json.loads(out)))
 
     def test_conflict_shows_both_values(self):
-        """A set on an old version loses nobody's write."""
+        """A set with an old version is refused and shows both values."""
         file = self.file('description: mine\n')
         args = ('settings', 'set', MAIN, file, '--if-version', '1')
         status, _, err = self.run_cli(*args)
@@ -121,14 +121,14 @@
         (['settings', 'get', '/teams/kalemlik'], 'refused'),
     )
     def test_mistakes(self, args, status):
-        """Each kind of mistake has its status and no traceback."""
+        """Each kind of error has its exit status and no traceback."""
         found, _, err = self.run_cli(*args)
         self.assertEqual(ExitStatus[status], found, err)
         self.assertNotIn('Traceback', err)
         self.assertTrue(err)
 
     def test_bad_settings_are_named(self):
-        """A wrong field is named with what was expected."""
+        """The error names every invalid field of the settings."""
         file = self.file('batch_share: 7\nnew_key: 1\n')
         status, _, err = self.run_cli('settings', 'set', YAZMAN, file)
         self.assertEqual(ExitStatus.bad_settings, status)
@@ -136,7 +136,7 @@
         self.assertIn('new_key', err)
 
     def test_job_from_submission_to_results(self):
-        """A job is submitted, waited for, listed and read."""
+        """A job can be submitted, waited for, read, listed and shown."""
         lines = [job_line(number, f'cli {number}') for number in range(5)]
         file = self.file('\n'.join(lines))
         status, out, err = self.run_cli('jobs', 'submit', file)
@@ -154,19 +154,19 @@
         self.assertIn('completed', out)
 
     def test_chat_streams(self):
-        """``chat`` writes the answer."""
+        """``chat`` writes the streamed response."""
         args = ('chat', 'yazman', 'hello', '--max-tokens', '3')
         out = self.run_cli(*args)[1]
         self.assertEqual(3, len(out.split()))
 
     def test_show_commands(self):
-        """Deployments, services and hosts are shown."""
+        """The commands list deployments, services and hosts."""
         self.assertIn(MAIN, self.run_cli('deployments')[1])
         self.assertIn(YAZMAN, self.run_cli('services')[1])
         self.assertIn('serving', self.run_cli('hosts')[1])
 
     def test_burn_report(self):
-        """The report counts what was answered; the page has a plot."""
+        """The report counts the five requests; the HTML page has a plot."""
         for number in range(5):
             self.rig.chat(f'burn {number}')
         for served in self.rig.entries:
@@ -181,7 +181,7 @@
 
     @params(*HELPS)
     def test_help(self, args):
-        """Each command explains itself."""
+        """Each command prints its usage for ``--help``."""
         status, out, _ = self.run_cli(*args, '--help')
         self.assertEqual(0, status)
         self.assertIn('Usage', out)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""Each command on the operators' page works."""
+"""Runs every command of the page for operators."""
 
 import io
 import re
@@ -16,10 +16,10 @@
 
 
 class TestOperating(RigCase):
-    """The page's commands, one after the other."""
+    """Runs the commands of the page in order against a test fleet."""
 
     def test_commands(self):
-        """Every command ends well."""
+        """Every command on the page exits with status 0."""
         blocks = BLOCK.findall(PAGE.read_text())
         lines = [line for block in blocks for line in block.splitlines()]
         self.assertGreater(len(lines), 10)
--- a/tests/test_settings_store.py
+++ b/tests/test_settings_store.py
@@ -1,4 +1,4 @@
-"""The settings store against a plain dict, with faults among the steps."""
+"""Compares the settings store with a dict model, with injected faults."""
 
 import random
 from unittest import mock
@@ -31,38 +31,38 @@
 
 
 class Peer(PeerSource):
-    """Hands out whatever tree it was given, however old."""
+    """A peer source that returns its tree even if it is old."""
 
     def __init__(self, tree: SettingsTree) -> None:
-        """Hand out ``tree``."""
+        """Return snapshots of ``tree``."""
         self.tree = tree
 
     def changes_after(self, version: int) -> Snapshot | None:
-        """Return the tree, also when it is older."""
+        """Return the tree even if it is older than ``version``."""
         return self.tree.snapshot()
 
 
 class SettingsMachine(RuleBasedStateMachine):
-    """Operators set paths; followers run at any time."""
+    """Operators set paths while two followers update at any time."""
 
     def __init__(self):
-        """Start with an empty tree."""
+        """Start with an empty store, two followers and an old peer."""
         super().__init__()
         self.table = MemoryTable()
         rng = random.Random(1)
         self.store = SettingsStore(self.table, ManualClock(), rng)
-        self.naive = {}
+        self.expected = {}
         self.version = 0
-        self.old = SettingsTree()
+        self.peer_tree = SettingsTree()
         self.followers = [
-            SettingsFollower(SettingsTree(), self.store, Peer(self.old))
+            SettingsFollower(SettingsTree(), self.store, Peer(self.peer_tree))
             for _ in range(2)
         ]
         self.applied = [0, 0]
 
     @initialize()
     def no_pauses(self):
-        """Repeat without waiting."""
+        """Set the backoff between attempts to 0 seconds."""
         names = ('FIRST_BACKOFF_S', 'MAX_BACKOFF_S')
         self.patches = [
             mock.patch.object(store_module, name, 0) for name in names
@@ -71,13 +71,13 @@
             patch.start()
 
     def teardown(self):
-        """Take the patches back."""
+        """Restore the backoff."""
         for patch in self.patches:
             patch.stop()
 
     @rule(faults=st.lists(st.sampled_from(FAULTS), max_size=3))
     def trouble(self, faults):
-        """Let the next writes fail."""
+        """Inject faults into the next writes to the table."""
         self.table.faults.extend(faults)
 
     @rule(
@@ -86,8 +86,8 @@
         stale=st.booleans(),
     )
     def put(self, path, raw, stale):
-        """Set a path at its version, or at an older one."""
-        at = self.naive.get(path, (0, None))[0]
+        """Set a path with its current version, or with a stale one."""
+        at = self.expected.get(path, (0, None))[0]
         given = at - 1 if stale else at
         try:
             change = self.store.put(path, raw, given, 'someone')
@@ -97,17 +97,17 @@
         assert not stale
         self.version += 1
         assert change.version == self.version
-        self.naive[path] = (self.version, raw)
+        self.expected[path] = (self.version, raw)
 
     @rule(which=st.integers(0, 1))
     def follow(self, which):
-        """Let a follower look."""
+        """Update a follower from the store."""
         self.followers[which].step()
         assert self.followers[which].tree.version == self.version
 
     @rule(which=st.integers(0, 1))
     def outage(self, which):
-        """Let a follower look while the store is away."""
+        """Update a follower while the store is unavailable."""
         follower = self.followers[which]
         away = StoreUnavailable(retry_after_s=1)
         with mock.patch.object(self.store, 'head', side_effect=away):
@@ -115,24 +115,24 @@
 
     @rule(which=st.integers(0, 1))
     def remember(self, which):
-        """Let the peer keep what a follower has now."""
-        self.old.load(self.followers[which].tree.snapshot())
+        """Load a follower's current tree into the peer."""
+        self.peer_tree.load(self.followers[which].tree.snapshot())
 
     @invariant()
     def never_back(self):
-        """No process goes back to a lower version."""
-        now = [follower.tree.version for follower in self.followers]
+        """The version of a follower never decreases."""
+        versions = [follower.tree.version for follower in self.followers]
         assert all(
-            new >= old for new, old in zip(now, self.applied, strict=True)
+            new >= old for new, old in zip(versions, self.applied, strict=True)
         )
-        self.applied = now
+        self.applied = versions
 
     @invariant()
     def in_force_is_what_was_accepted(self):
-        """An up-to-date follower has just what the naive store has."""
+        """An up-to-date follower has the same settings as the model."""
         wanted = {
             path: raw
-            for path, (_, raw) in self.naive.items()
+            for path, (_, raw) in self.expected.items()
             if raw is not None
         }
         for follower in self.followers:
@@ -154,4 +154,4 @@
 
 
 class TestSettingsStore(SettingsMachine.TestCase):
-    """Runs the machine."""
+    """Runs the state machine."""
--- a/tests/test_spoilt_tree.py
+++ b/tests/test_spoilt_tree.py
@@ -1,4 +1,4 @@
-"""Settings rows that cannot be read leave the last good settings."""
+"""Unreadable settings rows leave the last good settings in force."""
 
 import random
 import unittest
@@ -36,17 +36,17 @@
 
 
 class NoPeer(PeerSource):
-    """Knows nothing newer."""
+    """A peer source that has no newer settings."""
 
     def changes_after(self, version):
-        """Return nothing."""
+        """Return None."""
 
 
 class TestSpoiltTree(unittest.TestCase):
-    """A tree that follows a table that others write too."""
+    """A settings tree follows a table whose rows become unreadable."""
 
     def setUp(self):
-        """Set two nodes and follow them."""
+        """Store one node, load it into the tree, and disable the backoff."""
         self.table = SpoiltTable()
         clock, rng = ManualClock(), random.Random(1)
         self.store = SettingsStore(self.table, clock, rng)
@@ -60,7 +60,7 @@
             self.addCleanup(patch.stop)
 
     def check_refused(self, act):
-        """Check that something fails as unreadable and writes nothing."""
+        """Check that ``act`` raises unreadable_record and writes nothing."""
         before = self.table.store.version
         with self.assertRaises(CactusridgeError) as caught:
             act()
@@ -69,7 +69,10 @@
 
     @params(*spoilings({'version': 1}))
     def test_head(self, name, value):
-        """What is in force stays; nobody begins at version 1 again."""
+        """With an unreadable head, the tree stays and writes are refused.
+
+        A write that took the head as absent would restart at version 1.
+        """
         self.table.spoil(HEAD, value)
         self.follower.step()
         self.assertEqual(RAW, self.tree.raw(PATH))
@@ -77,7 +80,7 @@
 
     @params(*spoilings(CHANGE, OPTIONAL), *MISFITS)
     def test_history(self, name, value):
-        """One change that cannot be read keeps no later one away."""
+        """An unreadable change in the history does not block later ones."""
         self.store.put(PATH, {'share': 3.0}, 1, 'w')
         self.store.put(OTHER, RAW, 0, 'w')
         self.table.spoil('settings/history/000000000002', value)
@@ -88,7 +91,7 @@
 
     @params(*spoilings(CHANGE, OPTIONAL), *MISFITS)
     def test_node(self, name, value):
-        """A node that cannot be read anew stays as it was."""
+        """An unreadable node keeps its last good settings in the tree."""
         self.store.put(OTHER, RAW, 0, 'w')
         self.table.spoil('settings/history/000000000002', {'odd': 1})
         self.table.spoil(f'settings/node{PATH}', value)
@@ -100,7 +103,11 @@
         self.check_refused(lambda: self.store.put(PATH, RAW, 0, 'w'))
 
     def test_spoilt_after_a_lost_answer(self):
-        """Whether a change took effect cannot be told any more."""
+        """The outcome is unknown if the head is unreadable after a write.
+
+        The write takes effect, its response is lost, and the head row
+        becomes unreadable before the retry.
+        """
         transact = self.table.transact
 
         def spoiling(*call):
@@ -113,15 +120,15 @@
             self.store.put(OTHER, RAW, 0, 'w')
 
     def test_listener(self):
-        """A listener that fails at a path keeps no other from hearing."""
-        heard = []
+        """A follower that raises does not stop calls to other followers."""
+        notified = []
 
         def failing(path):
             raise KeyError(path)
 
         self.tree.follow(failing)
-        self.tree.follow(heard.append)
-        heard.clear()
+        self.tree.follow(notified.append)
+        notified.clear()
         self.store.put(OTHER, RAW, 0, 'w')
         self.follower.step()
-        self.assertEqual([OTHER], heard)
+        self.assertEqual([OTHER], notified)
