--- a/cactusridge/cli/api.py
+++ b/cactusridge/cli/api.py
@@ -65,13 +65,13 @@
                 all_headers,
                 method,
             ) as resp:
-                answer = resp.read()
+                response_body = resp.read()
                 status = resp.status_code
         except IO_ERRORS as exc:
             raise self._unreachable(exc) from exc
         if status >= HTTPStatus.BAD_REQUEST:
-            raise ErrorResponse(status, _parse_error(answer))
-        return answer
+            raise ErrorResponse(status, _parse_error(response_body))
+        return response_body
 
     def events(self, path: str, message: Any) -> Iterator[Any]:
         """Yield the decoded JSON of each event of a streamed response.
--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -105,13 +105,13 @@
         """Return the settings version in force on every process."""
         self._caller(req)
         peers = self._parts.fleet.peers()
-        answers = Pool(MAX_CONCURRENT_REQUESTS).map(self._peers.status, peers)
+        statuses = Pool(MAX_CONCURRENT_REQUESTS).map(self._peers.status, peers)
         local = self._local_status()
         entries = {str(self._parts.cfg.address): local['entry']}
         sidecars = dict(local['sidecars'])
-        for peer, answer in zip(peers, answers, strict=True):
-            entries[str(peer)] = answer.get('entry', answer)
-            for name, sidecar in answer.get('sidecars', {}).items():
+        for peer, status_reply in zip(peers, statuses, strict=True):
+            entries[str(peer)] = status_reply.get('entry', status_reply)
+            for name, sidecar in status_reply.get('sidecars', {}).items():
                 sidecars.setdefault(name, sidecar)
         return json_reply({'entries': entries, 'sidecars': sidecars})
 
--- a/cactusridge/settings/store.py
+++ b/cactusridge/settings/store.py
@@ -190,7 +190,7 @@
     ) -> Change | None:
         """Return the stored change if an earlier attempt took effect.
 
-        Raises OutcomeUnknown if unreadable history hides the answer.
+        Raises OutcomeUnknown if unreadable history rows make this unclear.
         """
         stored = state.change
         if stored is None or stored.version == if_version:
--- a/cactusridge/settings/tree.py
+++ b/cactusridge/settings/tree.py
@@ -89,11 +89,11 @@
         if snapshot.version <= self.version:
             return False
         before = set(self._nodes)
-        kept = {
+        preserved = {
             path: self._nodes[path]
             for path in before.intersection(snapshot.unreadable)
         }
-        self._nodes = kept | {
+        self._nodes = preserved | {
             path: _node(raw, version) for path, raw, version in snapshot.nodes
         }
         self._models.clear()
