--- a/soak/replica.py
+++ b/soak/replica.py
@@ -70,6 +70,6 @@
             self._record.failed_runs[request_id] += 1
         return status
 
-    def step_s(self, asked_s: float) -> float:
+    def step_s(self, requested_s: float) -> float:
         """Return how long an event takes, in seconds."""
-        return asked_s * self.slow_x
+        return requested_s * self.slow_x
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of outside systems, for tests, bench and demo only."""
+"""Simulated outside systems for the tests, the benchmarks and the demo."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,8 @@
-"""Runs one stand-in as a process: ``python -m standins KIND HOST:PORT``."""
+"""Runs one stand-in as a process.
+
+Usage: ``python -m standins KIND HOST:PORT [OPTIONS]``. OPTIONS is a JSON
+object and is read for the ``engine`` kind only.
+"""
 
 from gevent import monkey
 
@@ -25,9 +29,13 @@
 DRAIN_S = 5
 
 
-def make_engine(told: str) -> EngineStandIn:
-    """Return an engine; its speed, and whether it fences, come as JSON."""
-    fields = json.loads(told or '{}')
+def make_engine(raw_options: str) -> EngineStandIn:
+    """Return an engine stand-in.
+
+    ``raw_options`` is a JSON object of ``EngineSpeed`` fields, and of
+    ``checks_fencing`` if the engine checks fencing numbers.
+    """
+    fields = json.loads(raw_options or '{}')
     checks_fencing = fields.pop('checks_fencing', False)
     return EngineStandIn('yazman', EngineSpeed(**fields), checks_fencing)
 
@@ -42,10 +50,10 @@
 
 
 def main(args: list[str]) -> int:
-    """Serve until a signal; return the exit status."""
+    """Serve until SIGTERM or SIGINT, drain, and return the exit status."""
     kind, address = args[:2]
-    told = args[2] if len(args) > 2 else ''
-    server = Server(parse_address(address), KINDS[kind](told), IDLE_S)
+    raw_options = args[2] if len(args) > 2 else ''
+    server = Server(parse_address(address), KINDS[kind](raw_options), IDLE_S)
     stop = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stop.set)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in: OpenAI-compatible HTTP over the service model."""
+"""The engine stand-in: OpenAI-compatible HTTP over simulated batching."""
 
 import contextlib
 import hashlib
@@ -22,8 +22,8 @@
 BODY_TIMEOUT_S = 60
 DEFAULT_TOKENS = 16
 DIGEST_CHARS = 12
-WATCH_S = 0.05
-CRASH_S = 0.001
+TOKEN_POLL_S = 0.05
+CRASH_DELAY_S = 0.001
 POISON = 'POISON'
 ENDLESS = 'ENDLESS'
 ENDLESS_TOKENS = 1 << 40
@@ -35,7 +35,7 @@
 
 
 class EngineStandIn:
-    """Serves completions; records every execution it began."""
+    """Serves completions and records every execution that it starts."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         speed: EngineSpeed,
         checks_fencing: bool = False,
     ) -> None:
-        """Serve ``model`` at ``speed``."""
+        """Serve ``model``; optionally reject outdated fencing numbers."""
         self.model = model
         self.batch = ContinuousBatch(speed)
         self.checks_fencing = checks_fencing
@@ -52,7 +52,7 @@
         self.fences: dict[str, int] = {}
         self.streams: dict[str, Stream] = {}
         self.crashes = 0
-        # Called when a prompt has ended the engine.
+        # Called when a prompt has crashed the engine.
         self.on_crash: Callable[[], None] | None = None
         gevent.spawn(self.batch.run)
         self.app = App(
@@ -70,11 +70,11 @@
         )
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Any:
-        """Serve one request, as WSGI has it."""
+        """Serve one request, following the WSGI protocol."""
         return self.app(environ, start_response)
 
     def complete(self, req: Req) -> Reply:
-        """Answer a completion, streamed or whole."""
+        """Respond to a completion request, streamed or in one body."""
         raw = req.body()
         fault = self.faults.take(raw.decode())
         if fault is not None and fault.kind == FaultKind.cut:
@@ -88,45 +88,45 @@
         self.streams[stream.id] = stream
         self.batch.add(stream, bool(req.header('X-Resume')))
         if POISON in stream.prompt:
-            gevent.spawn_later(CRASH_S, self._crash)
-        headers = [('X-Request-Id', self._echo(stream, fault))]
+            gevent.spawn_later(CRASH_DELAY_S, self._crash)
+        headers = [('X-Request-Id', self._response_id(stream, fault))]
         if message.get('stream'):
             headers.append(('Content-Type', 'text/event-stream'))
             events = self._events(req, stream, message, fault)
             return Reply(200, headers, events)
-        return self._whole(req, stream, message, fault, headers)
+        return self._complete_reply(req, stream, message, fault, headers)
 
     def models(self, req: Req) -> Reply:
-        """List the one model."""
+        """Return the list of models, which has one entry."""
         entry = {'id': self.model, 'object': 'model', 'owned_by': 'stand-in'}
         return json_reply({'object': 'list', 'data': [entry]})
 
     def cancel(self, req: Req, name: str) -> Reply:
-        """End a stream."""
+        """Cancel a stream."""
         stream = self.streams.pop(name, None)
         if stream is not None:
             self.batch.remove(stream)
         return json_reply({'cancelled': stream is not None})
 
     def load(self, req: Req) -> Reply:
-        """Return the numbers of streams."""
+        """Return counts of streams, generated tokens and prefix cache hits."""
         return json_reply({**self.batch.load(), 'hits': self.batch.hits})
 
     def list_executions(self, req: Req) -> Reply:
-        """Return every execution begun."""
+        """Return a record of every execution that was started."""
         return json_reply({'executions': self.executions})
 
     def text(self, stream: Stream, number: int) -> str:
-        """Return token ``number`` of the answer to the stream's prompt."""
+        """Return token ``number`` of the completion of the stream's prompt."""
         return f'{self.digest(stream.prompt)}-{number} '
 
     def digest(self, prompt: str) -> str:
-        """Return what every token of the answer to ``prompt`` begins with."""
+        """Return the prefix of each token in the completion of ``prompt``."""
         whole = hashlib.sha256(prompt.encode()).hexdigest()
         return whole[:DIGEST_CHARS]
 
     def _crash(self) -> None:
-        """Lose everything, as an engine that dies does."""
+        """Drop all streams and caches, as an engine that crashes does."""
         self.crashes += 1
         if self.on_crash is not None:
             self.on_crash()
@@ -169,9 +169,9 @@
             raise Conflict('an old fencing number')
         self.fences[resource] = number
 
-    def _echo(self, stream: Stream, fault: Fault | None) -> str:
+    def _response_id(self, stream: Stream, fault: Fault | None) -> str:
         if fault is not None and fault.kind == FaultKind.cross:
-            # Another request's answer, whole and under its own id.
+            # Returns the complete response and the id of another request.
             stream.prompt = 'of another'
             return 'another'
         return stream.id
@@ -179,27 +179,27 @@
     def _tokens(self, req: Req, stream: Stream) -> Iterator[int]:
         try:
             while True:
-                number = self._next(req, stream)
+                number = self._next_token(req, stream)
                 yield number
                 if number >= stream.tokens:
-                    self._finished(stream)
+                    self._mark_finished(stream)
                     return
         finally:
             self.streams.pop(stream.id, None)
             if stream.made < stream.tokens:
                 self.batch.remove(stream)
 
-    def _next(self, req: Req, stream: Stream) -> int:
+    def _next_token(self, req: Req, stream: Stream) -> int:
         number = None
         while number is None:
             if stream.gone.is_set() or req.caller_gone():
                 sever(req)
                 raise EngineCrashed
             with contextlib.suppress(Empty):
-                number = stream.out.get(timeout=WATCH_S)
+                number = stream.out.get(timeout=TOKEN_POLL_S)
         return number
 
-    def _finished(self, stream: Stream) -> None:
+    def _mark_finished(self, stream: Stream) -> None:
         for entry in reversed(self.executions):
             if entry['id'] == stream.id:
                 entry['finished'] = True
@@ -214,14 +214,14 @@
     ) -> Iterator[bytes]:
         for number in self._tokens(req, stream):
             yield event(chunk(message, self.text(stream, number)))
-            _break_off(req, fault)
+            _apply_response_fault(req, fault)
             if fault is not None and fault.kind == FaultKind.short:
                 return
         if (message.get('stream_options') or {}).get('include_usage'):
             yield event(last_chunk(message, stream))
         yield b'data: [DONE]\n\n'
 
-    def _whole(
+    def _complete_reply(
         self,
         req: Req,
         stream: Stream,
@@ -233,14 +233,14 @@
             gevent.sleep(0)
         numbers = range(1, stream.tokens + 1)
         text = ''.join(self.text(stream, number) for number in numbers)
-        _break_off(req, fault)
+        _apply_response_fault(req, fault)
         reply = json_reply(completion(message, text, stream))
         reply.headers.extend(headers)
         return reply
 
 
-def _break_off(req: Req, fault: Fault | None) -> None:
-    """Cut or stall an answer where the fault says so."""
+def _apply_response_fault(req: Req, fault: Fault | None) -> None:
+    """Stall, or close the connection and raise EngineCrashed, by fault."""
     if fault is not None and fault.kind == FaultKind.lose_answer:
         sever(req)
         raise EngineCrashed
--- a/standins/engine_messages.py
+++ b/standins/engine_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the engine stand-in's answers, as OpenAI publishes them."""
+"""Response bodies of the engine stand-in, in the OpenAI API format."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
     text: str,
     stream: Stream,
 ) -> dict[str, Any]:
-    """Return a whole answer."""
+    """Return the body of a response that is not streamed."""
     choice: dict[str, Any] = {'index': 0, 'finish_reason': 'stop'}
     kind = 'text_completion'
     if 'messages' in message:
@@ -27,7 +27,7 @@
 
 
 def chunk(message: dict[str, Any], text: str) -> dict[str, Any]:
-    """Return one token of a streamed answer."""
+    """Return the chunk of a streamed response that has one token."""
     choice: dict[str, Any] = {'index': 0, 'finish_reason': None}
     kind = 'text_completion'
     if 'messages' in message:
@@ -39,17 +39,17 @@
 
 
 def last_chunk(message: dict[str, Any], stream: Stream) -> dict[str, Any]:
-    """Return the chunk with the usage."""
+    """Return the last chunk of a streamed response, with the usage."""
     return {**chunk(message, ''), 'choices': [], 'usage': usage(stream)}
 
 
 def event(message: dict[str, Any]) -> bytes:
-    """Return a server-sent event."""
+    """Return ``message`` encoded as a server-sent event."""
     return b'data: %b\n\n' % wire.encode(message)
 
 
 def usage(stream: Stream) -> dict[str, int]:
-    """Return the counts of an answer; a character counts as a token."""
+    """Return the token counts; each prompt character counts as a token."""
     prompt = len(stream.prompt)
     return {
         'prompt_tokens': prompt,
--- a/standins/fault_control.py
+++ b/standins/fault_control.py
@@ -1,4 +1,4 @@
-"""How a stand-in is told over HTTP to show faults."""
+"""HTTP endpoints that inject faults into a stand-in."""
 
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
@@ -8,14 +8,14 @@
 
 
 class FaultControl:
-    """Adds, clears and tells the faults of one stand-in."""
+    """Adds, clears and reports the faults of one stand-in."""
 
     def __init__(self, faults: Faults) -> None:
-        """Control ``faults``."""
+        """Create the endpoints that control ``faults``."""
         self._faults = faults
 
     def routes(self) -> list[Route]:
-        """Return the routes of this control."""
+        """Return the routes of the fault endpoints."""
         return [
             route('POST', PATH, self.add),
             route('DELETE', PATH, self.clear),
@@ -23,17 +23,17 @@
         ]
 
     def add(self, req: Req) -> Reply:
-        """Show a fault from now on."""
+        """Add the fault that the request describes."""
         message = req.json()
         message['kind'] = FaultKind(message['kind'])
         self._faults.add(Fault(**message))
         return json_reply({})
 
     def clear(self, req: Req) -> Reply:
-        """Show no fault any more."""
+        """Remove all active faults."""
         self._faults.clear()
         return json_reply({})
 
     def hits(self, req: Req) -> Reply:
-        """Return the calls that have shown a fault."""
+        """Return the calls in which a fault was applied."""
         return json_reply({'hits': self._faults.hits})
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show."""
+"""Faults that can be injected into a stand-in."""
 
 import enum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What goes wrong with a call."""
+    """The way in which a call fails."""
 
     down = 'down'
     slow = 'slow'
@@ -22,7 +22,12 @@
 
 
 class Fault(NamedTuple):
-    """One fault: which calls, how often, how long for ``slow``."""
+    """A fault to apply to matching calls.
+
+    It applies to the next ``count`` calls whose description contains
+    ``match``. ``seconds`` is the delay of ``slow``, and in the engine
+    stand-in also the length of ``stall``.
+    """
 
     kind: FaultKind
     match: str
@@ -31,23 +36,26 @@
 
 
 class Faults:
-    """The faults now in force at one stand-in."""
+    """The active faults of one stand-in."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without active faults."""
         self._active: list[Fault] = []
         self.hits: list[str] = []
 
     def add(self, fault: Fault) -> None:
-        """Show ``fault`` on the next ``count`` calls that match."""
+        """Apply ``fault`` to the next ``count`` matching calls."""
         self._active.append(fault)
 
     def clear(self) -> None:
-        """Show no fault any more."""
+        """Remove all active faults."""
         self._active = []
 
     def take(self, text: str) -> Fault | None:
-        """Return the fault for the call described by ``text``, if any."""
+        """Return the fault for the call described by ``text``, or None.
+
+        The call uses up one of the fault's ``count`` and is added to ``hits``.
+        """
         for index, fault in enumerate(self._active):
             if fault.match not in text:
                 continue
@@ -61,7 +69,7 @@
 
 
 def wait_out(fault: Fault | None) -> None:
-    """Sleep as long as a slow or stalled call takes."""
+    """Sleep for the duration of a slow or stalled call."""
     if fault is None:
         return
     if fault.kind == FaultKind.slow:
--- a/standins/fleet_plan.py
+++ b/standins/fleet_plan.py
@@ -1,10 +1,15 @@
-"""What a fleet of processes is to be like."""
+"""The configuration of a local fleet of processes."""
 
 from typing import Any, NamedTuple
 
 
 class FleetPlan(NamedTuple):
-    """How many processes of each kind, and what differs from the demo."""
+    """Numbers of processes and the settings that differ from the demo's.
+
+    ``engine_speeds`` overrides ``engine_speed`` by engine number;
+    ``fencing_engines`` are the numbers of the engines that check fencing
+    numbers.
+    """
 
     entries: int = 2
     sidecars: int = 4
--- a/standins/forwarder.py
+++ b/standins/forwarder.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder that harms what goes through it."""
+"""A TCP proxy that injects network faults into its connections."""
 
 import contextlib
 import socket
@@ -11,104 +11,109 @@
 from cactusridge.http.client import Address
 
 BLOCK = 65536
-# Closing at once, with a reset instead of an orderly end.
+# Makes close() send a reset at once instead of an orderly shutdown.
 NO_LINGER = struct.pack('ii', 1, 0)
 
 
 class Forwarder:
-    """Stands between two processes; new connections are not affected."""
+    """Forwards connections to a target process and injects faults.
+
+    ``cut``, ``reset`` and ``silence`` affect open connections only.
+    """
 
     def __init__(self, target: Address) -> None:
-        """Forward to ``target`` from a port that the system gives."""
+        """Forward to ``target`` from a port that the system chooses."""
         self.target = target
         self._server = StreamServer(('127.0.0.1', 0), self._serve)
-        self._pairs: list[tuple[socket.socket, socket.socket, Event]] = []
+        self._connections: list[tuple[socket.socket, socket.socket, Event]] = []
         self.address = target
         self.refusing = False
-        # One way only: answers, or requests, are lost.
+        # ``deaf`` drops data from the target, ``mute`` data to the target.
         self.deaf = False
         self.mute = False
-        # Seconds that each block is late, in both directions.
+        # Seconds by which each block is delayed, in both directions.
         self.delay_s = float(0)
         self.opened = 0
-        # Who connected while nobody listened at the target.
+        # Addresses of clients that connected while the target was unreachable.
         self.unreached: set[tuple[str, int]] = set()
 
     def start(self) -> Address:
-        """Listen; return where."""
+        """Start listening and return the address."""
         self._server.start()
         self.address = Address('127.0.0.1', self._server.server_port)
         return self.address
 
     def cut(self) -> None:
-        """End every open connection."""
-        for near, far, _ in self._pairs:
-            _close(near)
-            _close(far)
-        self._pairs = []
+        """Shut down every open connection."""
+        for client_sock, target_sock, _ in self._connections:
+            _close(client_sock)
+            _close(target_sock)
+        self._connections = []
 
     def reset(self) -> None:
         """Reset every open connection at both ends."""
-        for near, far, _ in self._pairs:
-            _reset(near)
-            _reset(far)
-        self._pairs = []
+        for client_sock, target_sock, _ in self._connections:
+            _reset(client_sock)
+            _reset(target_sock)
+        self._connections = []
 
     def silence(self) -> None:
-        """Pass nothing on any more on the connections open now."""
-        for _, _, flowing in self._pairs:
+        """Stop forwarding data on open connections without closing them."""
+        for _, _, flowing in self._connections:
             flowing.clear()
-        self._pairs = []
+        self._connections = []
 
     def stop(self) -> None:
-        """Stop listening and end what is open."""
+        """Stop listening and shut down open connections."""
         self._server.stop(timeout=0)
         self.cut()
 
-    def _serve(self, near: socket.socket, _: object) -> None:
+    def _serve(self, client_sock: socket.socket, _: object) -> None:
         if self.refusing:
             return
         self.opened += 1
         flowing = Event()
         flowing.set()
         try:
-            far = socket.create_connection(self.target, timeout=2)
+            target_sock = socket.create_connection(self.target, timeout=2)
         except OSError:
-            self.unreached.add(near.getpeername())
+            self.unreached.add(client_sock.getpeername())
             return
-        far.settimeout(None)
-        for sock in (near, far):
+        target_sock.settimeout(None)
+        for sock in (client_sock, target_sock):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pair = (near, far, flowing)
-        self._pairs.append(pair)
-        back = gevent.spawn(self._pump, far, near, flowing, True)
-        self._pump(near, far, flowing, False)
-        back.join()
-        far.close()
-        if pair in self._pairs:
-            self._pairs.remove(pair)
+        connection = (client_sock, target_sock, flowing)
+        self._connections.append(connection)
+        response_pump = gevent.spawn(
+            self._pump, target_sock, client_sock, flowing, True
+        )
+        self._pump(client_sock, target_sock, flowing, False)
+        response_pump.join()
+        target_sock.close()
+        if connection in self._connections:
+            self._connections.remove(connection)
 
     def _pump(
         self,
-        source: socket.socket,
-        sink: socket.socket,
+        from_sock: socket.socket,
+        to_sock: socket.socket,
         flowing: Event,
-        answers: bool,
+        to_client: bool,
     ) -> None:
         try:
-            while block := source.recv(BLOCK):
+            while block := from_sock.recv(BLOCK):
                 flowing.wait()
-                if self._loses(answers):
+                if self._drops(to_client):
                     continue
                 gevent.sleep(self.delay_s)
-                sink.sendall(block)
+                to_sock.sendall(block)
         except OSError:
-            _close(source)
+            _close(from_sock)
         if flowing.is_set():
-            _close(sink)
+            _close(to_sock)
 
-    def _loses(self, answers: bool) -> bool:
-        return self.deaf if answers else self.mute
+    def _drops(self, to_client: bool) -> bool:
+        return self.deaf if to_client else self.mute
 
 
 def _reset(sock: socket.socket) -> None:
--- a/standins/local_fleet.py
+++ b/standins/local_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes on loopback, for demo and tests."""
+"""A small fleet of real processes on loopback, for the demo and tests."""
 
 import json
 from collections.abc import Mapping
@@ -25,22 +25,22 @@
 
 
 class LocalFleet:
-    """Starts, stops and talks to the processes of a fleet."""
+    """Starts, calls and stops the processes of a fleet."""
 
     def __init__(self, folder: Path, plan: FleetPlan | None = None) -> None:
-        """Write start settings and logs below ``folder``."""
+        """Create a fleet whose start settings and logs go below ``folder``."""
         self.folder = folder
         self.plan = plan or FleetPlan()
         self.processes: dict[str, LocalProcess] = {}
         self.addresses: dict[str, Address] = {}
         self.hosts: dict[str, dict[str, Any]] = {}
         self.http = Clients(CONNECT_S, SILENCE_S)
-        # The version of the last change that ``seed`` made.
-        self._seeded = 0
+        # The settings version of the last change made by ``seed``.
+        self._seeded_version = 0
         self._ports = Ports()
 
     def start(self) -> None:
-        """Start everything, seed the settings, wait until all is ready."""
+        """Start all processes, seed the settings and wait for readiness."""
         self.start_platform()
         for number in range(self.plan.sidecars):
             self.start_engine(number)
@@ -63,8 +63,8 @@
         name = f'engine-{number}'
         speed = self.plan.engine_speeds.get(number, self.plan.engine_speed)
         checks = number in self.plan.fencing_engines
-        told = {**speed, 'checks_fencing': checks}
-        self._start(name, ['standins', 'engine'], [json.dumps(told)])
+        options = {**speed, 'checks_fencing': checks}
+        self._start(name, ['standins', 'engine'], [json.dumps(options)])
 
     def start_sidecar(self, number: int) -> None:
         """Start or restart a sidecar at its address."""
@@ -101,7 +101,7 @@
         number: int,
         services: list[str],
     ) -> None:
-        """Put a host on the list that ``publish_hosts`` sends."""
+        """Add a host to the list that ``publish_hosts`` sends."""
         self.hosts[name] = {
             'address': str(self.addresses[name]),
             'zone': ZONES[number % len(ZONES)],
@@ -111,12 +111,12 @@
         }
 
     def publish_hosts(self) -> None:
-        """Give the host list to the platform; it shows with a lag."""
+        """Send the host list to the platform, which serves it after a lag."""
         message = {'hosts': list(self.hosts.values())}
         self.call('platform', '/hosts', message, method='PUT')
 
     def seed(self, nodes: dict[str, Any]) -> None:
-        """Set the nodes through the first entry."""
+        """Write the nodes through the first entry; may raise NotReady."""
         self._wait_http('entry-0', '/livez')
         for path, raw in nodes.items():
             message = {'raw': raw, 'if_version': 0}
@@ -129,10 +129,10 @@
             )
             if status != 200:
                 raise NotReady(f'{path}: {reply}')
-            self._seeded = reply['version']
+            self._seeded_version = reply['version']
 
     def wait_ready(self) -> None:
-        """Wait until every entry serves and knows every sidecar."""
+        """Wait until every entry is ready and serves with every sidecar."""
         for name in self.named('entry'):
             self._wait_http(name, '/readyz')
             self._wait_fleet(name)
@@ -149,7 +149,7 @@
         headers: Mapping[str, str] | None = None,
         method: str = 'POST',
     ) -> tuple[int, Any]:
-        """Return status and JSON of one call to a process."""
+        """Call a process and return the status and the decoded JSON body."""
         raw = b'' if message is None else wire.encode(message)
         with self.http.send(
             self.addresses[name],
@@ -162,7 +162,7 @@
             return resp.status_code, wire.decode(body) if body else None
 
     def stop(self) -> dict[str, int]:
-        """Stop all gracefully, entries first; return the statuses."""
+        """Stop all gracefully, entries first; return statuses by name."""
         order = ('entry', 'sidecar', 'engine', 'plain', 'platform')
         statuses = {}
         for kind in order:
@@ -174,7 +174,7 @@
         return statuses
 
     def kill_all(self) -> None:
-        """End whatever is still there."""
+        """Kill all processes that still run, suspended ones included."""
         for process in self.processes.values():
             process.send(18)
             process.kill()
@@ -188,11 +188,11 @@
         self,
         name: str,
         args: list[str],
-        more: list[str] | None = None,
+        extra_args: list[str] | None = None,
     ) -> None:
         if name not in self.addresses:
             self.addresses[name] = self._ports.give()
-        whole = [*args, str(self.addresses[name]), *(more or [])]
+        whole = [*args, str(self.addresses[name]), *(extra_args or [])]
         self.processes[name] = LocalProcess(name, whole, self.folder)
 
     def _start_role(
@@ -212,21 +212,21 @@
         self.processes[name] = LocalProcess(name, args, self.folder)
 
     def _wait_http(self, name: str, path: str) -> None:
-        said: list[str] = []
+        outcomes: list[str] = []
 
-        def answers() -> bool:  # noqa: WPS430
+        def is_answered() -> bool:  # noqa: WPS430
             try:
                 reply = self.call(name, path, method='GET')
             except OSError as exc:
-                said.append(repr(exc))
+                outcomes.append(repr(exc))
                 return False
-            said.append(str(reply))
+            outcomes.append(str(reply))
             return reply[0] == 200
 
         try:
-            wait_for(f'{name}{path}', answers)
+            wait_for(f'{name}{path}', is_answered)
         except NotReady as exc:
-            exc.add_note(f'last answer: {said[-1:]}')
+            exc.add_note(f'last answer: {outcomes[-1:]}')
             exc.add_note(self.processes[name].tail())
             raise
 
@@ -236,11 +236,11 @@
     def _knows_all(self, name: str) -> bool:
         reply = self.call(name, '/admin/status', None, ADMIN, 'GET')[1]
         serving = [
-            told
-            for told in reply['sidecars'].values()
-            if told['state'] == 'serving'
+            report
+            for report in reply['sidecars'].values()
+            if report['state'] == 'serving'
         ]
         own = reply['entries'][str(self.addresses[name])]
-        # An entry may be ready by settings older than the last seeded.
-        current = own['version'] >= self._seeded
+        # An entry may become ready with settings older than the last seeded.
+        current = own['version'] >= self._seeded_version
         return current and len(serving) == len(self.named('sidecar'))
--- a/standins/local_process.py
+++ b/standins/local_process.py
@@ -1,4 +1,4 @@
-"""A child process of a demo or test, with its log."""
+"""A child process of the demo or of a test, with its log file."""
 
 import os
 import signal
@@ -11,10 +11,10 @@
 
 
 class LocalProcess:
-    """Starts a Python module and ends it by its own id."""
+    """Runs a Python module as a child process and controls that process."""
 
     def __init__(self, name: str, args: list[str], folder: Path) -> None:
-        """Run ``python -m args``; its output goes to a log in ``folder``."""
+        """Run ``python -m args`` with its output in a log in ``folder``."""
         self.name = name
         self.log = folder / f'{name}.log'
         with self.log.open('ab') as sink:
@@ -26,27 +26,30 @@
             )
 
     def tail(self) -> str:
-        """Return the last lines of its log, and its status if it ended."""
+        """Return the process state and the last lines of the log."""
         lines = self.log.read_text(errors='replace').splitlines()
         status = self.process.poll()
         state = 'runs' if status is None else f'ended with status {status}'
         return '\n'.join((f'{self.name} {state}', *lines[-TAIL_LINES:]))
 
     def stop(self) -> int:
-        """Ask it to stop and return its exit status."""
+        """Send SIGTERM, wait for the process and return its exit status."""
         self.send(signal.SIGTERM)
         return self.wait()
 
     def wait(self) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait until the process exits and return its exit status.
+
+        Raises subprocess.TimeoutExpired after ``STOP_S`` seconds.
+        """
         return self.process.wait(STOP_S)
 
     def kill(self) -> None:
-        """End it at once, as a lost host does."""
+        """Kill the process at once, as the loss of its host would."""
         self.process.kill()
         self.process.wait(STOP_S)
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process, unless it has exited."""
         if self.process.poll() is None:
             self.process.send_signal(number)
--- a/standins/machines/__init__.py
+++ b/standins/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the machines' platform: its store and its replicas."""
+"""Stand-ins for the direct entry's platform: its store and replicas."""
--- a/standins/machines/listed_replicas.py
+++ b/standins/machines/listed_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas and their entries on the platform's list."""
+"""Replicas and their entries in the platform's replica list."""
 
 from typing import Any
 
@@ -10,14 +10,15 @@
 from standins.machines.spoiled import SPOILED
 from standins.machines.store import MachineStore
 
-# From a replica's end to its next start, in seconds.
-BACK_S = 0.7
-# From a replica's end to that of its entry, if it came back under another.
-LAPSES_S = 2.5
+# Seconds from a replica's crash until it accepts connections again.
+RESTART_DELAY_S = 0.7
+# Seconds from a replica's crash until its list entry is removed, if the
+# replica has restarted under another id.
+OLD_ENTRY_REMOVAL_S = 2.5
 
 
 class ListedReplicas:
-    """Lists replicas in a store, starts them again, spoils their entries."""
+    """Registers replicas in a store, restarts them and corrupts entries."""
 
     def __init__(
         self,
@@ -25,13 +26,13 @@
         replicas: list[MachineReplica],
         slots: int,
     ) -> None:
-        """List ``replicas`` of so many slots in ``store``."""
+        """Manage ``replicas`` of ``slots`` slots, listed in ``store``."""
         self.store = store
         self.replicas = replicas
-        # The way to each replica.
+        # The proxy in front of each replica.
         self.replica_links: list[Forwarder] = []
         self._slots = slots
-        # Whether a replica that has crashed comes back under another id.
+        # Whether a crashed replica restarts under another id.
         self.renames = False
 
     def register(
@@ -40,7 +41,7 @@
         address: Address,
         state: str = 'ready',
     ) -> None:
-        """Put a replica on the list of the platform."""
+        """Write the list entry of a replica to the store."""
         entry = self.listed(replica, address, state)
         self.store.put(('servers', '', replica.id), entry)
 
@@ -50,7 +51,7 @@
         address: Address,
         state: str = 'ready',
     ) -> dict[str, Any]:
-        """Return what a replica says of itself on the list."""
+        """Return the list entry that a replica writes for itself."""
         return {
             'service': 'model',
             'address': str(address),
@@ -64,9 +65,10 @@
         }
 
     def restart_under_same_id(self, number: int, moved: bool = False) -> None:
-        """Break a replica off and start it again under the id it had.
+        """Reset a replica's connections and restart it under the same id.
 
-        It is back at once, at its address or, if ``moved``, at another.
+        It accepts connections again at once, at the same address or, if
+        ``moved``, at a new one.
         """
         replica, link = self.replicas[number], self.replica_links[number]
         link.refusing = True
@@ -81,9 +83,10 @@
         self.register(replica, link.address)
 
     def crash(self, number: int, silent: bool = False) -> None:
-        """End a replica with everything in it; it is back after a while.
+        """Crash a replica with all its requests; it restarts after a delay.
 
-        Its entry stays on the list until then.
+        Its entry stays in the list until then. If ``silent``, open
+        connections stop carrying data instead of being reset.
         """
         replica, link = self.replicas[number], self.replica_links[number]
         link.refusing = True
@@ -94,13 +97,15 @@
         old = replica.id
         if self.renames:
             replica.id = f'{old}+'
-        gevent.spawn_later(BACK_S, self._come_back, number)
-        gevent.spawn_later(LAPSES_S, self._drop_former, number, old)
+        gevent.spawn_later(RESTART_DELAY_S, self._reopen, number)
+        gevent.spawn_later(
+            OLD_ENTRY_REMOVAL_S, self._remove_old_entry, number, old
+        )
 
     def spoil_entry(self, number: int, how: str) -> None:
-        """Overwrite a replica's entry as another writer would.
+        """Corrupt a replica's list entry, as a faulty writer would.
 
-        ``how`` is a key of ``SPOILED``. The replica itself lives on.
+        ``how`` is a key of ``SPOILED``. The replica itself keeps running.
         """
         replica = self.replicas[number]
         entry = self.listed(replica, self.replica_address(number))
@@ -108,17 +113,17 @@
         self.store.put_bytes(('servers', '', replica.id), raw)
 
     def mend_entry(self, number: int) -> None:
-        """Let a replica write its entry again."""
+        """Write a correct list entry for a replica again."""
         self.register(self.replicas[number], self.replica_address(number))
 
     def replica_address(self, number: int) -> Address:
-        """Return where a replica listens."""
+        """Return the address at which a replica accepts connections."""
         return self.replica_links[number].address
 
-    def _drop_former(self, number: int, former: str) -> None:
-        if self.replicas[number].id != former:
-            self.store.remove(('servers', '', former))
+    def _remove_old_entry(self, number: int, old_id: str) -> None:
+        if self.replicas[number].id != old_id:
+            self.store.remove(('servers', '', old_id))
 
-    def _come_back(self, number: int) -> None:
+    def _reopen(self, number: int) -> None:
         self.replica_links[number].refusing = False
         self.mend_entry(number)
--- a/standins/machines/replica.py
+++ b/standins/machines/replica.py
@@ -1,4 +1,4 @@
-"""A replica of the machines: slots, streams, resumption, and faults."""
+"""A simulated replica with slots, event streams, resumption and faults."""
 
 import time
 from collections import Counter
@@ -14,8 +14,8 @@
 STEP_S = 0.01
 CRASH = b'crash'
 SILENT = b'silent'
-# From the start of a run that ends its replica to that end.
-CRASH_S = 0.03
+# Seconds from the start of a crashing request until the replica crashes.
+CRASH_DELAY_S = 0.03
 NS_PER_MS = 1_000_000
 FAILING = MappingProxyType(
     {
@@ -27,24 +27,25 @@
 
 
 class Cut(Exception):
-    """The replica breaks its answer off."""
+    """The replica closes the connection in the middle of a response."""
 
 
 class MachineReplica:
-    """Runs requests; keeps what it ran for the tests to look at.
-
-    The body of a request is ``N`` or ``N EVENT_SECONDS``: so many events
-    come, one each so many seconds. ``cut_after`` breaks the next streams
-    off after so many events, in the middle of one. A body that has
-    ``crash`` ends the replica soon after it has begun, before any event,
-    and all that runs there with it; one that also has ``silent`` does so
-    without a word on any connection. ``born`` is the Unix
-    millisecond at which the present life began; what tests look at is
-    counted over all lives.
+    """Runs requests and records them for the tests.
+
+    The body of a request is ``N`` or ``N EVENT_SECONDS``: the replica sends
+    ``N`` events, one every ``EVENT_SECONDS``. Each number in ``cut_after``
+    closes one of the next streams in the middle of that event. Each id in
+    ``spoil`` replaces the request id in one of the next responses. A body
+    that contains ``crash`` crashes the replica and all its requests shortly
+    after the request starts, before any event; if the body also contains
+    ``silent``, open connections stop carrying data instead of being closed.
+    ``born`` is the start time of the current incarnation in Unix
+    milliseconds. The recorded counts include all incarnations.
     """
 
     def __init__(self, replica_id: str, slots: int) -> None:
-        """Run as the process ``replica_id``."""
+        """Create the replica ``replica_id`` with ``slots`` slots."""
         self.id = replica_id
         self.born = time.time_ns() // NS_PER_MS
         self.runs: Counter[str] = Counter()
@@ -61,7 +62,7 @@
         self._slots = BoundedSemaphore(slots)
 
     def __call__(self, environ: dict[str, Any], start: Start) -> Any:
-        """Serve one request, as WSGI has it."""
+        """Serve one request, following the WSGI protocol."""
         headers = dict(environ[HEADERS_KEY])
         request_id = headers.get('X-Attempt-Id', '')
         if headers.get('X-Expect-Instance') != self.id:
@@ -72,64 +73,65 @@
         self.runs[request_id] += 1
         self.seen[request_id] = headers
         self.targets.append(environ[TARGET_KEY])
-        answered = [
+        reply_headers = [
             ('X-Attempt-Id', request_id),
             ('X-Response-Signature', f'sig.{self.id}'),
         ]
-        return self._answer(body, headers, answered, start)
+        return self._respond(body, headers, reply_headers, start)
 
     def on_crash(self, listener: Callable[[bool], None]) -> None:
-        """Call ``listener`` when a request has ended the replica.
+        """Call ``listener`` when a request has crashed the replica.
 
-        It is told whether the connections fall silent or break.
+        Its argument is True if the open connections are to stop carrying data
+        and False if they are to be closed.
         """
         self._on_crash = listener
 
     def restart(self) -> None:
-        """Begin a life that knows nothing of what runs; that breaks off."""
+        """Start a new incarnation; running streams break off."""
         self.born = max(self.born + 1, time.time_ns() // NS_PER_MS)
         self.running = 0
         self._slots = BoundedSemaphore(self._slot_count)
 
     def text(self, request_id: str, number: int) -> str:
-        """Return the data of an event."""
+        """Return the data of event ``number``."""
         return f'e{number}'
 
     def plain(self, request_id: str, body: bytes) -> bytes:
-        """Return the body of a plain answer."""
+        """Return the body of a response that is not streamed."""
         return body
 
     def failing(self, request_id: str, body: bytes) -> str | None:
-        """Return the status of a run that fails, None for another."""
+        """Return the status of a request that fails, None for one that runs."""
         return FAILING.get(body.partition(b' ')[0])
 
-    def step_s(self, asked_s: float) -> float:
-        """Return how long an event takes, in seconds."""
-        return asked_s
+    def step_s(self, requested_s: float) -> float:
+        """Return the seconds that an event takes, given the requested ones."""
+        return requested_s
 
-    def _answer(
+    def _respond(
         self,
         body: bytes,
         headers: dict[str, str],
-        answered: list[tuple[str, str]],
+        reply_headers: list[tuple[str, str]],
         start: Start,
     ) -> Any:
-        request_id = answered[0][1]
+        request_id = reply_headers[0][1]
         if CRASH in body and body.startswith(b'plain'):
             return self._crash(SILENT in body)
         status = self.failing(request_id, body)
         if status is not None:
-            start(status, answered)
+            start(status, reply_headers)
             return [body]
         if body.startswith(b'plain'):
-            start('200 OK', answered)
+            start('200 OK', reply_headers)
             return [self.plain(request_id, body)]
         if self.spoil:
             wrong = self.spoil.pop(0)
-            start('200 OK', [('X-Attempt-Id', wrong), answered[1]])
+            start('200 OK', [('X-Attempt-Id', wrong), reply_headers[1]])
             return [b'spoiled']
         kind = ('Content-Type', 'text/event-stream')
-        write = start('200 OK', [*answered, kind])
+        write = start('200 OK', [*reply_headers, kind])
         last = headers.get('Last-Event-Id', '0')
         if CRASH in body:
             write(b'')
@@ -137,16 +139,16 @@
         return self._events(request_id, body, last)
 
     def _crash(self, silent: bool) -> NoReturn:
-        """End this life and everything that runs in it."""
-        gevent.sleep(CRASH_S)
+        """Call the crash listener after a delay; always raise Cut."""
+        gevent.sleep(CRASH_DELAY_S)
         self.crashed.append(time.monotonic())
         if self._on_crash is not None:
             self._on_crash(silent)
         raise Cut
 
-    def _end(self, slots: BoundedSemaphore, whole: bool) -> None:
+    def _finish(self, slots: BoundedSemaphore, complete: bool) -> None:
         self.running -= slots is self._slots
-        self.left += not whole
+        self.left += not complete
         slots.release()
 
     def _refuse(self, start: Start, status: str) -> list[bytes]:
@@ -159,16 +161,16 @@
         body: bytes,
         last: str,
     ) -> Iterator[bytes]:
-        count, _, gap = body.decode().partition(' ')
+        count, _, event_s = body.decode().partition(' ')
         cut_after = self.cut_after.pop(0) if self.cut_after else None
         slots = self._slots
         slots.acquire()
         self.running += slots is self._slots
         self.most = max(self.most, self.running)
-        whole = False
+        complete = False
         try:
             for number in range(int(last) + 1, int(count) + 1):
-                gevent.sleep(self.step_s(float(gap or STEP_S)))
+                gevent.sleep(self.step_s(float(event_s or STEP_S)))
                 if slots is not self._slots:
                     raise Cut
                 if number == cut_after:
@@ -176,6 +178,6 @@
                     raise Cut
                 text = self.text(request_id, number)
                 yield f'id: {number}\ndata: {text}\n\n'.encode()
-            whole = True
+            complete = True
         finally:
-            self._end(slots, whole)
+            self._finish(slots, complete)
--- a/standins/machines/site.py
+++ b/standins/machines/site.py
@@ -1,4 +1,4 @@
-"""Entries as real processes before the stand-ins, in one test process."""
+"""Entries run as real processes, with stand-ins in the test process."""
 
 import base64
 import contextlib
@@ -54,10 +54,10 @@
 
 
 class MachineSite(ListedReplicas):
-    """A store, replicas of one service and some entries."""
+    """A store and replicas of one service in this process, and entries."""
 
     def __init__(self, folder: Path, replicas: int, slots: int) -> None:
-        """Make everything but the entries."""
+        """Create the store and the replicas; entries are started later."""
         self.folder = folder
         replica_ids = [f'i-{number}' for number in range(replicas)]
         super().__init__(
@@ -69,18 +69,18 @@
         self.addresses: dict[str, Address] = {}
         self._ports = Ports()
         self._servers: list[Server] = []
-        # The way from each entry to the store.
+        # The proxy between each entry and the store, by entry name.
         self.store_links: dict[str, Forwarder] = {}
         self.version = 0
-        # Decisions of the entries that differ from the usual ones.
+        # The ``policy`` part of the entries' start settings.
         self.policy: dict[str, str] = {}
-        # Headers of every item beside the usual ones.
+        # Additional headers of every job item.
         self.item_headers: dict[str, str] = {}
-        # Start settings of the entries beside the usual ones.
+        # Additional start settings of the entries.
         self.more: dict[str, Any] = {}
 
     def start(self) -> None:
-        """Serve the store and the replicas; write the configuration."""
+        """Start the servers of the store and replicas; write the catalog."""
         self._store_address = self._serve(self.store.app)
         for number, replica in enumerate(self.replicas):
             link = Forwarder(self._serve(replica))
@@ -90,7 +90,7 @@
         self.configure(ROUTES)
 
     def configure(self, routes: Any, holders: Any = None) -> None:
-        """Put a new version of the configuration in force.
+        """Write a new version of the catalog with ``routes``.
 
         ``holders`` are the organisations with their keys and limits.
         """
@@ -106,12 +106,12 @@
         self.store.put(('op', '', 'config'), message)
 
     def start_entry(self, name: str) -> None:
-        """Start an entry, or start it again, and wait until it is ready."""
+        """Start or restart an entry; wait until ready or raise NotReady."""
         self.spawn_entry(name)
         wait_for(f'{name} is ready', lambda: self.is_ready(name))
 
     def spawn_entry(self, name: str) -> None:
-        """Start an entry, or start it again."""
+        """Start or restart an entry without waiting for readiness."""
         path = self.folder / f'{name}.yaml'
         if name not in self.addresses:
             path.write_text(yaml.safe_dump(self._settings(name)))
@@ -131,7 +131,7 @@
         headers: dict[str, str] | None = None,
         source: str = '127.0.0.1',
     ) -> tuple[int, dict[str, str], bytes]:
-        """Return status, headers and body of one call from ``source``."""
+        """Call an entry from ``source``; return status, headers and body."""
         conn = HTTPConnection(
             *self.addresses[name],
             timeout=20,
@@ -167,7 +167,7 @@
         return self.call(name, 'POST', '/lots/x', raw, sent)[0]
 
     def results(self, name: str, job_id: str) -> list[dict[str, str]]:
-        """Return every result of a job that is listed now."""
+        """Return the results of a job that an entry lists now."""
         found: list[dict[str, str]] = []
         while True:
             target = f'/api/lots/{job_id}?after={len(found)}'
@@ -178,7 +178,7 @@
             found.extend(page)
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether an entry says that it is ready."""
+        """Return whether the readiness endpoint of an entry returns 200."""
         settings = yaml.safe_load((self.folder / f'{name}.yaml').read_text())
         host, _, port = settings['readiness_listen'].partition(':')
         conn = HTTPConnection(host, int(port), timeout=2)
@@ -188,11 +188,11 @@
         return False
 
     def make_replica(self, replica_id: str, slots: int) -> MachineReplica:
-        """Return a replica of this site."""
+        """Return a new replica for this site."""
         return MachineReplica(replica_id, slots)
 
     def stop(self) -> None:
-        """End the processes and servers that this site started."""
+        """Stop the processes, proxies and servers that this site started."""
         for process in self.entries.values():
             if process.process.poll() is None:
                 process.kill()
@@ -208,7 +208,7 @@
         conn: HTTPConnection,
         request: tuple[Any, ...],
     ) -> None:
-        """Send a request; say what the entry said last if it is gone."""
+        """Send a request; raise NotReady if the entry refuses to connect."""
         try:
             conn.request(*request)
         except ConnectionRefusedError as exc:
--- a/standins/machines/spoiled.py
+++ b/standins/machines/spoiled.py
@@ -1,4 +1,4 @@
-"""Entries of the list of replicas as another writer may leave them."""
+"""Corrupt entries of the replica list, as a faulty writer may leave them."""
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
@@ -10,50 +10,55 @@
 Spoil = Callable[[Entry], bytes]
 
 
-def _with(name: str, found: Any) -> Spoil:
-    """Return what puts ``found`` in the place of a field."""
-    return lambda entry: wire.encode({**entry, name: found})
+def _replacing(name: str, replacement: Any) -> Spoil:
+    """Return a function that replaces the value of a field."""
+    return lambda entry: wire.encode({**entry, name: replacement})
 
 
-def _without(name: str) -> Spoil:
-    """Return what leaves a field out."""
+def _removing(name: str) -> Spoil:
+    """Return a function that removes a field."""
 
     def spoil(entry: Entry) -> bytes:  # noqa: WPS430
         return wire.encode(
-            {field: held for field, held in entry.items() if field != name},
+            {
+                field: old_value
+                for field, old_value in entry.items()
+                if field != name
+            },
         )
 
     return spoil
 
 
-# By what is wrong with the entry. No entry made so names a replica to use.
+# Functions that corrupt an entry, by the kind of damage. No entry that they
+# return names a replica that may be used.
 SPOILED: Mapping[str, Spoil] = MappingProxyType(
     {
-        'no address': _without('address'),
-        'no service': _without('service'),
-        'no zone': _without('zone'),
-        'no slots': _without('slots'),
-        'no state': _without('state'),
-        'no born': _without('born'),
-        'address a number': _with('address', 8080),
-        'address a name': _with('address', 'localhost:80'),
-        'address without a port': _with('address', '127.0.0.1'),
-        'port too large': _with('address', '127.0.0.1:99999'),
-        'port 0': _with('address', '127.0.0.1:0'),
-        'service a number': _with('service', 7),
-        'service a list': _with('service', ['model']),
-        'service not named': _with('service', 'nobody'),
-        'zone null': _with('zone', None),
-        'slots a string': _with('slots', '8'),
-        'slots null': _with('slots', None),
-        'slots negative': _with('slots', -1),
-        'slots true': _with('slots', True),
-        'state not named': _with('state', 'resting'),
-        'state a number': _with('state', 1),
-        'born a string': _with('born', '1764720000000'),
-        'born a fraction': _with('born', 1764720000000.5),
-        'born true': _with('born', True),
-        'born negative': _with('born', -1),
+        'no address': _removing('address'),
+        'no service': _removing('service'),
+        'no zone': _removing('zone'),
+        'no slots': _removing('slots'),
+        'no state': _removing('state'),
+        'no born': _removing('born'),
+        'address a number': _replacing('address', 8080),
+        'address a name': _replacing('address', 'localhost:80'),
+        'address without a port': _replacing('address', '127.0.0.1'),
+        'port too large': _replacing('address', '127.0.0.1:99999'),
+        'port 0': _replacing('address', '127.0.0.1:0'),
+        'service a number': _replacing('service', 7),
+        'service a list': _replacing('service', ['model']),
+        'service not named': _replacing('service', 'nobody'),
+        'zone null': _replacing('zone', None),
+        'slots a string': _replacing('slots', '8'),
+        'slots null': _replacing('slots', None),
+        'slots negative': _replacing('slots', -1),
+        'slots true': _replacing('slots', True),
+        'state not named': _replacing('state', 'resting'),
+        'state a number': _replacing('state', 1),
+        'born a string': _replacing('born', '1764720000000'),
+        'born a fraction': _replacing('born', 1764720000000.5),
+        'born true': _replacing('born', True),
+        'born negative': _replacing('born', -1),
         'a list': lambda entry: wire.encode([entry]),
         'a string': lambda entry: wire.encode('ready'),
         'null': lambda entry: b'null',
--- a/standins/memory_table.py
+++ b/standins/memory_table.py
@@ -1,4 +1,4 @@
-"""The table in memory, behind the same interface, with faults to order."""
+"""An in-memory implementation of the table with injectable faults."""
 
 import itertools
 from collections import deque
@@ -20,10 +20,14 @@
 
 
 class MemoryTable(Table):
-    """A table for focused tests; ``faults`` meet the next writes in turn."""
+    """A table for unit tests.
+
+    Each write takes the next of ``faults``; the next ``fail_reads`` reads
+    raise StoreUnavailable.
+    """
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty table without faults."""
         self.store = TableStore()
         self.faults: deque[FaultKind] = deque()
         self.reads = 0
@@ -36,7 +40,11 @@
         writes: Sequence[Write],
         priority: Priority,
     ) -> int:
-        """Apply the writes, or fail as the next fault says."""
+        """Apply the writes as one commit and return its version.
+
+        Raises ConditionFailed if a version differs. The next fault may raise
+        StoreUnavailable, or WriteUnknown before or after the commit.
+        """
         self.writes += 1
         fault = self.faults.popleft() if self.faults else None
         if fault == FaultKind.down:
@@ -52,7 +60,7 @@
         return version
 
     def read(self, keys: Sequence[str], priority: Priority) -> list[Row]:
-        """Return the rows at ``keys``."""
+        """Return the rows at ``keys``; raise StoreUnavailable on a fault."""
         self._count_read()
         return [Row(*self.store.row(key)) for key in keys]
 
@@ -63,7 +71,10 @@
         after: str = '',
         limit: int = PAGE,
     ) -> list[Row]:
-        """Return a page of rows below ``prefix``."""
+        """Return a page of the rows below ``prefix``.
+
+        Raises StoreUnavailable on a fault.
+        """
         self._count_read()
         found = self.store.scan(prefix, after, limit)
         return [Row(*row) for row in itertools.islice(found, limit)]
--- a/standins/model.py
+++ b/standins/model.py
@@ -1,4 +1,4 @@
-"""The service-time model of the engine stand-in: continuous batching."""
+"""Simulated timing of an engine that does continuous batching."""
 
 from collections import OrderedDict, deque
 from typing import Any, NamedTuple
@@ -7,11 +7,15 @@
 from gevent.event import Event
 from gevent.queue import Queue
 
-RETAINED = 256
+MAX_RETAINED = 256
 
 
 class EngineSpeed(NamedTuple):
-    """Times of the engine, in seconds, and its bounds."""
+    """Timing of the engine in seconds, and its limits.
+
+    A step takes ``step_s`` plus ``per_stream_s`` for each running stream,
+    plus ``prefill_token_s`` for each prompt character to prefill.
+    """
 
     slots: int = 8
     step_s: float = 0.004
@@ -22,10 +26,10 @@
 
 
 class Stream:
-    """One request in the engine."""
+    """One request in the engine; ``made`` counts its generated tokens."""
 
     def __init__(self, stream_id: str, prompt: str, tokens: int) -> None:
-        """Generate ``tokens`` tokens for ``prompt``."""
+        """Create a stream of ``tokens`` tokens for ``prompt``."""
         self.id = stream_id
         self.prompt = prompt
         self.tokens = tokens
@@ -35,10 +39,10 @@
 
 
 class ContinuousBatch:
-    """Admits in arrival order; each step makes a token for every stream."""
+    """Admits streams in arrival order; each step adds a token to each."""
 
     def __init__(self, speed: EngineSpeed) -> None:
-        """Run at ``speed``."""
+        """Create an empty batch with the timing ``speed``."""
         self.speed = speed
         self.waiting: deque[Stream] = deque()
         self.running: list[Stream] = []
@@ -49,21 +53,21 @@
         self._work = Event()
 
     def add(self, stream: Stream, resume: bool) -> None:
-        """Queue ``stream``; resumed, it goes on where it was left."""
+        """Queue ``stream``; ``resume`` continues after its last token."""
         if resume:
             stream.made = self.retained.pop(stream.id, 0)
         self.waiting.append(stream)
         self._work.set()
 
     def remove(self, stream: Stream) -> None:
-        """End ``stream``; what it made is kept for a time."""
+        """End ``stream`` and remember its token count for a resumption."""
         stream.gone.set()
         self.retained[stream.id] = stream.made
-        if len(self.retained) > RETAINED:
+        if len(self.retained) > MAX_RETAINED:
             self.retained.popitem(last=False)
 
     def crash(self) -> None:
-        """Lose every stream, as an engine that dies does."""
+        """Drop all streams and caches, as an engine that crashes does."""
         for stream in (*self.running, *self.waiting):
             stream.gone.set()
         self.running = []
@@ -72,7 +76,7 @@
         self.retained.clear()
 
     def run(self) -> None:
-        """Step for ever; sleep while there is nothing to do."""
+        """Run steps forever, and wait while there are no streams."""
         while True:
             if not self.running and not self.waiting:
                 self._work.clear()
@@ -81,7 +85,7 @@
             self._advance()
 
     def load(self) -> dict[str, Any]:
-        """Return the numbers of streams now."""
+        """Return the counts of streams and of generated tokens."""
         return {
             'running': len(self.running),
             'waiting': len(self.waiting),
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""The plain-service stand-in: echoes, counts, may lose answers."""
+"""The stand-in of a plain service: it echoes and records calls."""
 
 from typing import Any
 
@@ -15,10 +15,10 @@
 
 
 class PlainStandIn:
-    """Answers every call with what it got; keeps each in a list."""
+    """Returns each request to its sender and records it."""
 
     def __init__(self) -> None:
-        """Start with no call."""
+        """Create a service without recorded calls."""
         self.calls: list[dict[str, Any]] = []
         self.faults = Faults()
         self.app = App(
@@ -32,11 +32,11 @@
         )
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Any:
-        """Serve one request, as WSGI has it."""
+        """Serve one request, following the WSGI protocol."""
         return self.app(environ, start_response)
 
     def echo(self, req: Req) -> Reply:
-        """Answer with the method, path, headers and body that came."""
+        """Return the received method, path, query, headers and body."""
         body = req.body().decode(errors='replace')
         fault = self.faults.take(f'{req.method} {req.path}')
         if fault is not None and fault.kind == FaultKind.cut:
@@ -58,6 +58,6 @@
         return reply
 
     def get_calls(self, req: Req) -> Reply:
-        """Return every call that was carried out."""
+        """Return the recorded calls."""
         gevent.sleep(0)
         return json_reply({'calls': self.calls})
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,7 @@
-"""The platform stand-in: table, objects, lagging host list, weights."""
+"""The platform stand-in: table, objects, host list and weights.
+
+A new host list is served only after a lag.
+"""
 
 import re
 from typing import Any
@@ -40,10 +43,10 @@
 
 
 class PlatformStandIn:
-    """Keeps everything in memory and shows faults when told."""
+    """Keeps all data in memory and applies injected faults."""
 
     def __init__(self, writes_per_s: float, reads_per_s: float) -> None:
-        """Limit writes and reads as the platform does."""
+        """Limit writes and reads per second, as the platform does."""
         self.table = TableStore()
         self.objects: dict[str, bytes] = {}
         self.hosts: list[dict[str, Any]] = []
@@ -74,35 +77,35 @@
         )
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Any:
-        """Serve one request, as WSGI has it."""
+        """Serve one request, following the WSGI protocol."""
         blocks = self.app(environ, start_response)
         if environ.get(GARBLED):
             return [GARBAGE * len(block) for block in blocks]
         return blocks
 
     def transact(self, req: Req) -> Reply:
-        """Apply a conditional transaction."""
+        """Apply a conditional transaction; 409 with the rows that differ."""
         raw = req.body()
         message = wire.decode(raw)
-        fault = self._enter(req, 'transact', raw.decode(), self.writes)
+        fault = self._admit(req, 'transact', raw.decode(), self.writes)
         differing = self.table.differing(message['conditions'])
         if differing:
             return json_reply({'rows': differing}, 409)
         version = self.table.apply(message['writes'])
-        self._answer(req, fault)
+        self._apply_response_fault(req, fault)
         return json_reply({'version': version})
 
     def read(self, req: Req) -> Reply:
-        """Return rows by key."""
+        """Return the rows at the requested keys."""
         raw = req.body()
-        self._enter(req, 'read', raw.decode(), self.reads)
+        self._admit(req, 'read', raw.decode(), self.reads)
         keys = wire.decode(raw)['keys']
         return json_reply({'rows': [self.table.row(key) for key in keys]})
 
     def scan(self, req: Req) -> Reply:
-        """Return a page of rows below a prefix."""
+        """Return a page of the rows below a prefix."""
         raw = req.body()
-        self._enter(req, 'scan', raw.decode(), self.reads)
+        self._admit(req, 'scan', raw.decode(), self.reads)
         message = wire.decode(raw)
         rows = self.table.scan(
             message['prefix'],
@@ -114,14 +117,14 @@
     def put_object(self, req: Req, name: str) -> Reply:
         """Store an object."""
         body = req.body()
-        fault = self._enter(req, 'put', name, self.writes)
+        fault = self._admit(req, 'put', name, self.writes)
         self.objects[name] = body
-        self._answer(req, fault)
+        self._apply_response_fault(req, fault)
         return json_reply({})
 
     def get_object(self, req: Req, name: str) -> Reply:
-        """Return an object or a range of it."""
-        self._enter(req, 'get', name, self.reads)
+        """Return an object or a byte range of it; raise NotFound."""
+        self._admit(req, 'get', name, self.reads)
         if name not in self.objects:
             raise NotFound(name)
         body = self.objects[name]
@@ -132,9 +135,9 @@
         return Reply(200, [('Content-Length', str(len(body)))], [body])
 
     def object_names(self, req: Req) -> Reply:
-        """Return a page of object names, one a line."""
+        """Return a page of object names, one per line."""
         prefix = req.query('prefix')
-        self._enter(req, 'names', prefix, self.reads)
+        self._admit(req, 'names', prefix, self.reads)
         after = req.query('after')
         found = sorted(
             name
@@ -145,8 +148,8 @@
         return Reply(200, [('Content-Length', str(len(body)))], [body])
 
     def get_hosts(self, req: Req) -> Reply:
-        """Return the hosts as last published."""
-        self._enter(req, 'hosts', '', self.reads)
+        """Return the published host list, or 304 if the ETag matches."""
+        self._admit(req, 'hosts', '', self.reads)
         raw = wire.encode({'hosts': self.hosts})
         tag = f'"{hash64(raw.decode()):x}"'
         if req.header('If-None-Match') == tag:
@@ -156,17 +159,17 @@
         return Reply(200, headers, [raw])
 
     def put_hosts(self, req: Req) -> Reply:
-        """Take a new host list; it shows after the lag."""
+        """Accept a new host list and publish it after the lag."""
         hosts = req.json()['hosts']
         gevent.spawn_later(self.host_lag_s, self._publish, hosts)
         return json_reply({})
 
     def get_history(self, req: Req) -> Reply:
-        """Return every commit since the start."""
+        """Return all commits since the stand-in started."""
         return json_reply({'history': self.table.history})
 
     def get_held(self, req: Req, holder: str) -> Reply:
-        """Return how many spans an entry holds."""
+        """Return the number of spans whose lease an entry holds."""
         held = [
             key
             for key, (stored, _) in self.table.rows.items()
@@ -175,13 +178,13 @@
         return json_reply({'held': len(held)})
 
     def get_counts(self, req: Req) -> Reply:
-        """Return the number of calls by kind."""
+        """Return the number of calls of each kind."""
         return json_reply(self.counts)
 
     def _publish(self, hosts: list[dict[str, Any]]) -> None:
         self.hosts = hosts
 
-    def _enter(
+    def _admit(
         self,
         req: Req,
         kind: str,
@@ -203,6 +206,6 @@
             raise StandInDown
         return fault
 
-    def _answer(self, req: Req, fault: Fault | None) -> None:
+    def _apply_response_fault(self, req: Req, fault: Fault | None) -> None:
         if fault is not None and fault.kind == FaultKind.lose_answer:
             sever(req)
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports that are kept for processes to come."""
+"""Reservation of ports for processes that start later."""
 
 import socket
 
@@ -6,27 +6,27 @@
 
 
 class Ports:
-    """Gives free ports and keeps each until all are closed.
+    """Reserves free ports until ``close`` is called.
 
-    A kept port is bound and never listens: a server, which reuses
-    addresses, can bind it too, and the system gives it to no outgoing
-    connection meanwhile.
+    A reserved port is bound but does not listen. A server that sets
+    SO_REUSEADDR can still bind the port, and meanwhile the system does not
+    assign it to an outgoing connection.
     """
 
     def __init__(self) -> None:
-        """Keep none."""
-        self._kept: list[socket.socket] = []
+        """Start without reserved ports."""
+        self._reserved: list[socket.socket] = []
 
     def give(self) -> Address:
-        """Return the address of a port that the system gives."""
+        """Reserve a port that the system chooses and return its address."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(('127.0.0.1', 0))
-        self._kept.append(sock)
+        self._reserved.append(sock)
         return Address(*sock.getsockname())
 
     def close(self) -> None:
-        """Keep none any more."""
-        for sock in self._kept:
+        """Release all reserved ports."""
+        for sock in self._reserved:
             sock.close()
-        self._kept = []
+        self._reserved = []
--- a/standins/severing.py
+++ b/standins/severing.py
@@ -1,4 +1,4 @@
-"""Cuts a connection in the middle of a request."""
+"""Closes a connection in the middle of a request."""
 
 import contextlib
 import socket
@@ -7,6 +7,6 @@
 
 
 def sever(req: Req) -> None:
-    """End the connection of ``req`` without an answer."""
+    """Shut down the connection of ``req`` without sending a response."""
     with contextlib.suppress(OSError):
         req.environ[SOCKET_KEY].shutdown(socket.SHUT_RDWR)
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -1,4 +1,4 @@
-"""Rows with versions, conditional transactions and their history."""
+"""An in-memory table of versioned rows with a history of commits."""
 
 import bisect
 import time
@@ -8,22 +8,22 @@
 
 
 class TableStore:
-    """The table of the platform stand-in; every commit is remembered."""
+    """The table of the platform stand-in; it records every commit."""
 
     def __init__(self) -> None:
-        """Start empty at version 0."""
+        """Create an empty table at version 0."""
         self.rows: dict[str, tuple[Any, int]] = {}
         self.keys: list[str] = []
         self.version = 0
         self.history: list[dict[str, Any]] = []
 
     def row(self, key: str) -> Row:
-        """Return the row at ``key``; version 0 when absent."""
+        """Return the row at ``key``; an absent row has version 0."""
         stored, version = self.rows.get(key, (None, 0))
         return key, stored, version
 
     def differing(self, conditions: list[list[Any]]) -> list[Row]:
-        """Return the rows whose version is not the one wanted."""
+        """Return the rows whose version differs from their condition's."""
         found = [(self.row(key), version) for key, version in conditions]
         return [row for row, version in found if row[2] != version]
 
@@ -37,7 +37,7 @@
         return self.version
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Return up to ``limit`` rows below ``prefix`` and past ``after``."""
+        """Return up to ``limit`` rows below ``prefix``, after key ``after``."""
         start = bisect.bisect_left(self.keys, prefix)
         if after:
             start = max(start, bisect.bisect_right(self.keys, after))
--- a/standins/waiting.py
+++ b/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for things to happen, with a generous bound."""
+"""Polling for a condition with a time limit."""
 
 import time
 from typing import Any
@@ -8,11 +8,14 @@
 
 
 class NotReady(Exception):
-    """Something did not come up or did not happen in time."""
+    """A process did not start, or a condition was not met in time."""
 
 
 def wait_for(what: str, happened: Any, bound_s: float = WAIT_S) -> Any:
-    """Return what ``happened`` returns once it is true."""
+    """Poll ``happened`` until its result is true, and return the result.
+
+    Raises NotReady with ``what`` after ``bound_s`` seconds.
+    """
     deadline = time.monotonic() + bound_s
     while time.monotonic() < deadline:
         found = happened()
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,4 +1,4 @@
-"""The weight store stand-in: versions of weights at a limited rate."""
+"""The stand-in of the model weight store, with limited downloads."""
 
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
@@ -8,7 +8,7 @@
 
 
 class WeightStore:
-    """Hands out weights, so many a second over all hosts."""
+    """Serves model weights at a rate that all hosts share."""
 
     def __init__(self, per_s: float) -> None:
         """Allow ``per_s`` downloads a second."""
@@ -16,11 +16,11 @@
         self.served: list[str] = []
 
     def routes(self) -> list[Route]:
-        """Return the routes to serve this store under."""
+        """Return the routes of this store."""
         return [route('GET', '/weights/(?P<name>.+)', self.download)]
 
     def download(self, req: Req, name: str) -> Reply:
-        """Return the weights called ``name``, or 429."""
+        """Return the weights ``name``, or 429 above the rate limit."""
         if not self.rate.take():
             return Reply(429, [('Retry-After', RETRY_AFTER_S)], [])
         self.served.append(name)
