--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: two entries, four sidecars, stand-ins for the rest."""
+"""The demo: two entries, four sidecars and simulated outside systems."""
--- a/demo/check.py
+++ b/demo/check.py
@@ -1,4 +1,4 @@
-"""Tries each part of the demo once and says what it saw."""
+"""Checks each part of the demo once and prints the results."""
 
 import json
 import time
@@ -13,42 +13,42 @@
 
 ITEMS = 200
 TOKENS = 8
-FORCE_S = 7
+APPLY_LIMIT_S = 7
 TOKEN = MappingProxyType({'Authorization': 'Bearer demo'})
 
 
 class Missed(Exception):
-    """A check did not see what it should."""
+    """A check got an unexpected result."""
 
 
 def run_check(fleet: LocalFleet, out: TextIO) -> int:
-    """Run every check; return how many were missed."""
-    missed = 0
+    """Run every check, print the results and return the failure count."""
+    failures = 0
     for check in (streamed, whole, plain, batch, settings):
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            told = check(fleet)
+            result = check(fleet)
         except Exception as exc:
-            missed += 1
-            told = f'MISSED: {exc!r}'
-        spent_s = time.monotonic() - began
-        out.write(f'{check.__name__}: {told} ({spent_s:.1f} s)\n')
-    return missed
+            failures += 1
+            result = f'MISSED: {exc!r}'
+        elapsed_s = time.monotonic() - started_at
+        out.write(f'{check.__name__}: {result} ({elapsed_s:.1f} s)\n')
+    return failures
 
 
 def client(fleet: LocalFleet, name: str) -> OpenAI:
-    """Return an unmodified OpenAI client of one entry."""
+    """Return a standard OpenAI client that calls the entry ``name``."""
     return OpenAI(api_key='demo', base_url=f'{fleet.url(name)}/v1')
 
 
 def expect(wanted: object, found: object) -> None:
-    """Raise Missed unless both are equal."""
+    """Raise Missed unless ``wanted`` and ``found`` are equal."""
     if wanted != found:
         raise Missed(f'wanted {wanted!r}, found {found!r}')
 
 
 def streamed(fleet: LocalFleet) -> str:
-    """Stream one chat completion."""
+    """Stream one chat completion and check the number of tokens."""
     chunks = list(
         client(fleet, 'entry-0').chat.completions.create(
             model='yazman',
@@ -62,7 +62,7 @@
 
 
 def whole(fleet: LocalFleet) -> str:
-    """Get one chat completion whole."""
+    """Request one chat completion without streaming; return its text."""
     answer = client(fleet, 'entry-1').chat.completions.create(
         model='yazman',
         messages=[{'role': 'user', 'content': 'satır iki'}],
@@ -73,7 +73,7 @@
 
 
 def plain(fleet: LocalFleet) -> str:
-    """Call the plain service."""
+    """Call the plain service and return the request line it received."""
     status, reply = fleet.call(
         'entry-0',
         '/services/defter/registers/7?line=3',
@@ -85,7 +85,7 @@
 
 
 def batch(fleet: LocalFleet) -> str:
-    """Send a job to one entry and read its results at the other."""
+    """Submit a job to one entry and read its results from the other."""
     run = uuid.uuid4().hex
     lines = [_line(run, number) for number in range(ITEMS)]
     first, other = client(fleet, 'entry-0'), client(fleet, 'entry-1')
@@ -109,19 +109,22 @@
 
 
 def settings(fleet: LocalFleet) -> str:
-    """Change one setting and see it in force on every process."""
+    """Change one setting and check that every process applies it.
+
+    Raises Missed if that takes more than ``APPLY_LIMIT_S`` seconds.
+    """
     path = f'/admin/settings{YAZMAN}'
     old = fleet.call('entry-0', path, None, ADMIN, 'GET')[1]
     raw = {**old['raw'], 'batch_share': 0.7}
     message = {'raw': raw, 'if_version': old['version']}
-    began = time.monotonic()
+    started_at = time.monotonic()
     status, change = fleet.call('entry-1', path, message, ADMIN, 'PUT')
     expect(200, status)
     version = change['version']
-    wait_for('the version in force', lambda: _in_force(fleet, version))
-    spent_s = time.monotonic() - began
-    if spent_s > FORCE_S:
-        raise Missed(f'in force only after {spent_s:.1f} s')
+    wait_for('the version in force', lambda: _is_applied(fleet, version))
+    elapsed_s = time.monotonic() - started_at
+    if elapsed_s > APPLY_LIMIT_S:
+        raise Missed(f'in force only after {elapsed_s:.1f} s')
     count = len(fleet.named('entry')) + len(fleet.named('sidecar'))
     return f'version {version} in force on {count} processes'
 
@@ -146,9 +149,9 @@
     return job if job.status == 'completed' else None
 
 
-def _in_force(fleet: LocalFleet, version: int) -> bool:
+def _is_applied(fleet: LocalFleet, version: int) -> bool:
     found = fleet.call('entry-0', '/admin/status', None, ADMIN, 'GET')[1]
-    told = [*found['entries'].values(), *found['sidecars'].values()]
+    reports = [*found['entries'].values(), *found['sidecars'].values()]
     wanted = len(fleet.named('entry')) + len(fleet.named('sidecar'))
-    lowest = min(each.get('version', 0) for each in told)
-    return len(told) == wanted and lowest >= version
+    lowest = min(each.get('version', 0) for each in reports)
+    return len(reports) == wanted and lowest >= version
--- a/demo/run.py
+++ b/demo/run.py
@@ -21,7 +21,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Run the demo; return the exit status."""
+    """Run the demo and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--check', action='store_true')
     parser.add_argument('--ports', type=int, nargs=2, default=PORTS)
@@ -36,24 +36,27 @@
 
 
 def serve(fleet: LocalFleet, check: bool) -> int:
-    """Start, serve or check, stop; non-zero when anything was missed."""
+    """Start the fleet, serve or check it, and stop it.
+
+    Returns 1 if a check or a process failed, else 0.
+    """
     fleet.start()
     urls = ' and '.join(map(fleet.url, fleet.named('entry')))
     sys.stdout.write(f'ready: {urls}, token demo\n')
     sys.stdout.flush()
-    missed = 0
+    failures = 0
     if check:
-        missed = run_check(fleet, sys.stdout)
+        failures = run_check(fleet, sys.stdout)
     else:
         wait_for_signal()
     statuses = fleet.stop()
     failed = {name: code for name, code in statuses.items() if code}
     sys.stdout.write(f'stopped {len(statuses)} processes; failed: {failed}\n')
-    return 1 if missed or failed else 0
+    return 1 if failures or failed else 0
 
 
 def wait_for_signal() -> None:
-    """Wait for Ctrl-C or SIGTERM."""
+    """Wait for SIGINT (Ctrl-C) or SIGTERM."""
     stop = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stop.set)
