--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real entries, faults from outside, promises checked."""
+"""A randomized soak test: real entries, injected faults, checked promises."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: runs seeds and says which promises did not hold."""
+"""``python -m soak`` runs seeds and prints the promises that were broken."""
 
 from gevent import monkey
 
@@ -39,15 +39,15 @@
         sys.exit(run_one(wanted[0], Size(seconds, entries), folder))
     with ThreadPoolExecutor(at_once) as workers:
         failed = list(
-            workers.map(lambda seed: run_apart(seed, shown), wanted),
+            workers.map(lambda seed: run_in_process(seed, shown), wanted),
         )
     sys.stdout.write(f'{len(wanted) - sum(failed)} passed, ')
     sys.stdout.write(f'{sum(failed)} failed\n')
     sys.exit(int(any(failed)))
 
 
-def run_apart(seed: int, shown: list[str]) -> int:
-    """Run a seed in a process; return 1 if a promise did not hold."""
+def run_in_process(seed: int, shown: list[str]) -> int:
+    """Run a seed in its own process; return 1 if the process failed."""
     seconds, entries, folder = shown
     options = ['--seconds', seconds, '--entries', entries, '--folder', folder]
     command = [sys.executable, '-m', 'soak', '--seeds', str(seed), *options]
@@ -56,7 +56,7 @@
 
 
 def run_one(seed: int, size: Size, folder: Path) -> int:
-    """Run a seed here; return the exit status."""
+    """Run a seed in this process; return 1 if a promise was broken."""
     allow_many()
     place = folder / str(seed)
     shutil.rmtree(place, ignore_errors=True)
@@ -68,7 +68,7 @@
         'seed': seed,
         'size': size._asdict(),
         'figures': record.figures(),
-        'spans': [list(span) for span in record.spans],
+        'spans': [list(disturbance) for disturbance in record.disturbances],
         'violations': [list(each) for each in record.violations],
     }
     (place / REPORT).write_text(json.dumps(report, indent=1))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send online requests over connections they keep."""
+"""Callers that send online requests over persistent connections."""
 
 import contextlib
 import random
@@ -15,18 +15,21 @@
 from standins.machines.site import HOST
 
 DEADLINE_MS = 5000
-# Over the deadline by more than any answer may be late.
+# Exceeds the deadline by more than the permitted delay of a response.
 TIMEOUT_S = 8
 MAX_EVENTS = 40
 EVENT_S = 0.03
 MAX_PAUSE_S = 0.4
-LEAVING_SHARE = 0.05
-LEAVES_AFTER_S = 0.2
+DISCONNECT_SHARE = 0.05
+DISCONNECT_AFTER_S = 0.2
 MISSING_ROUTE_S = 0.1
 
 
-class Ask(NamedTuple):
-    """A request to send: its kind, target and body."""
+class RequestSpec(NamedTuple):
+    """A request to send.
+
+    ``version`` is the catalog version whose own route it calls, or None.
+    """
 
     kind: str
     target: str
@@ -34,11 +37,11 @@
     version: int | None = None
 
 
-def expected_body(ask: Ask, request_id: str) -> bytes:
-    """Return the whole answer that a replica gives."""
-    if ask.body.startswith(b'plain'):
-        return f'{request_id} '.encode() + ask.body
-    count = int(ask.body.split()[0])
+def expected_body(spec: RequestSpec, request_id: str) -> bytes:
+    """Return the complete response body that a replica sends."""
+    if spec.body.startswith(b'plain'):
+        return f'{request_id} '.encode() + spec.body
+    count = int(spec.body.split()[0])
     events = (
         f'id: {number}\ndata: {request_id}.{number}\n\n'
         for number in range(1, count + 1)
@@ -47,79 +50,81 @@
 
 
 class Caller:
-    """Sends requests one after the other until the soak is over."""
+    """Sends one request after another until the soak ends."""
 
     def __init__(self, world: World, name: str, seed: int) -> None:
-        """Draw requests and entries by ``seed``."""
+        """Create a caller that draws requests and entries with ``seed``."""
         self._world = world
         self._name = name
         self._rng = random.Random(seed)  # noqa: S311
         self._conn: HTTPConnection | None = None
         self._entry = ''
         self._count = 0
-        self._left = False
-        # The entry that was asked last, and from where.
-        self._asked = ''
-        self._local: tuple[str, int] = ('', 0)
+        self._disconnected = False
+        # The entry of the last request and the local address used for it.
+        self._called_entry = ''
+        self._local_address: tuple[str, int] = ('', 0)
 
     def run(self) -> None:
-        """Send until the soak is over."""
-        while not self._world.over:
+        """Send requests until the soak ends."""
+        while not self._world.finished:
             self.send(self._draw())
             gevent.sleep(self._rng.uniform(0, MAX_PAUSE_S))
 
-    def send(self, ask: Ask) -> Call:
-        """Send one request; note and return what came of it."""
+    def send(self, spec: RequestSpec) -> Call:
+        """Send one request; record and return its outcome."""
         self._count += 1
         request_id = f'{self._name}-{self._count}'
         sent_at = time.monotonic()
-        leaves = self._rng.random() < LEAVING_SHARE
-        if leaves and ask.version is None:
-            gevent.spawn_later(LEAVES_AFTER_S, self._leave, self._count)
-        self._left = False
-        end, resp, body = self._exchange(ask, request_id)
-        link = self._world.caller_links[self._asked]
-        if self._left:
-            end = CallEnd.left
-        elif resp is None and self._local in link.unreached:
+        disconnects = self._rng.random() < DISCONNECT_SHARE
+        if disconnects and spec.version is None:
+            gevent.spawn_later(
+                DISCONNECT_AFTER_S, self._disconnect, self._count
+            )
+        self._disconnected = False
+        end, resp, body = self._exchange(spec, request_id)
+        link = self._world.caller_links[self._called_entry]
+        if self._disconnected:
+            end = CallEnd.caller_closed
+        elif resp is None and self._local_address in link.unreached:
             end = CallEnd.unreached
         call = Call(
             request_id,
-            ask.kind,
-            self._asked,
+            spec.kind,
+            self._called_entry,
             sent_at,
             time.monotonic(),
             end,
             None if resp is None else resp.status,
             body,
             {} if resp is None else dict(resp.getheaders()),
-            ask.version,
+            spec.version,
         )
         self._world.record.calls.append(call)
-        self._check_answer(call, ask)
+        self._check_answer(call, spec)
         return call
 
     def probe(self, entry: str) -> bool:
-        """Tell whether an entry serves a request over a new connection."""
-        self._drop()
+        """Return whether an entry serves a request on a new connection."""
+        self._close()
         self._entry = entry
-        ask = Ask('safe', '/safe/x', b'plain')
-        return self.send(ask).status == 200
+        spec = RequestSpec('safe', '/safe/x', b'plain')
+        return self.send(spec).status == 200
 
-    def _draw(self) -> Ask:
+    def _draw(self) -> RequestSpec:
         kind = self._rng.choice(('on', 'on', 'again', 'safe', 'version'))
         if kind == 'safe':
-            return Ask(kind, '/safe/x', b'plain')
+            return RequestSpec(kind, '/safe/x', b'plain')
         if kind == 'version':
             version = self._world.version - self._rng.randrange(2)
-            return Ask(kind, f'/v{version}/x', b'plain', version)
+            return RequestSpec(kind, f'/v{version}/x', b'plain', version)
         count = self._rng.randint(1, MAX_EVENTS)
         body = f'{count} {EVENT_S}'.encode()
-        return Ask(kind, f'/{kind}/a?b={count}', body)
+        return RequestSpec(kind, f'/{kind}/a?b={count}', body)
 
     def _exchange(
         self,
-        ask: Ask,
+        spec: RequestSpec,
         request_id: str,
     ) -> tuple[CallEnd, Response | None, bytes]:
         headers = {
@@ -129,62 +134,65 @@
         }
         try:
             conn = self._connect()
-            conn.request('POST', ask.target, ask.body, headers)
+            conn.request('POST', spec.target, spec.body, headers)
             resp = conn.getresponse()
         except TimeoutError:
-            return self._broken(CallEnd.silent)
+            return self._without_response(CallEnd.silent)
         except (OSError, HTTPException):
-            return self._broken(CallEnd.closed)
+            return self._without_response(CallEnd.closed)
         try:
             body = resp.read()
         except IncompleteRead as exc:
-            self._drop()
+            self._close()
             return CallEnd.cut, resp, exc.partial
         except (OSError, HTTPException):
-            self._drop()
+            self._close()
             return CallEnd.cut, resp, b''
         if resp.will_close:
-            self._drop()
+            self._close()
         return CallEnd.whole, resp, body
 
-    def _broken(self, end: CallEnd) -> tuple[CallEnd, None, bytes]:
-        self._drop()
+    def _without_response(self, end: CallEnd) -> tuple[CallEnd, None, bytes]:
+        self._close()
         return end, None, b''
 
     def _connect(self) -> HTTPConnection:
-        """Return the connection kept, or one to any entry."""
+        """Return the open connection, or open one to a random entry."""
         if self._conn is None:
             names = sorted(self._world.caller_links)
             self._entry = self._entry or self._rng.choice(names)
             address = self._world.caller_links[self._entry].address
             self._conn = HTTPConnection(*address, timeout=TIMEOUT_S)
             self._conn.connect()
-            self._local = self._conn.sock.getsockname()
-        self._asked = self._entry
+            self._local_address = self._conn.sock.getsockname()
+        self._called_entry = self._entry
         return self._conn
 
-    def _drop(self) -> None:
+    def _close(self) -> None:
         if self._conn is not None:
             self._conn.close()
         self._conn = None
         self._entry = ''
 
-    def _leave(self, number: int) -> None:
-        """End the connection if request ``number`` is still under way."""
+    def _disconnect(self, number: int) -> None:
+        """Close the connection if request ``number`` is still in flight."""
         sock = self._conn and self._conn.sock
         if number != self._count or sock is None:
             return
-        self._left = True
-        # Its own greenlet may be reading: shut, and let that close it.
+        self._disconnected = True
+        # Another greenlet may be reading from the socket. It is only shut down
+        # here, and that greenlet closes it.
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
 
-    def _check_answer(self, call: Call, ask: Ask) -> None:
-        """Note an answer that is another's, unsigned or not whole."""
+    def _check_answer(self, call: Call, spec: RequestSpec) -> None:
+        """Record a response that is wrong, incomplete or unsigned."""
         if call.end != CallEnd.whole or call.status != 200:
             return
         record = self._world.record
-        if call.body != expected_body(ask, call.id):
-            record.broke('whole answer', f'{call.id} got {call.body[:80]!r}')
+        if call.body != expected_body(spec, call.id):
+            record.add_violation(
+                'whole answer', f'{call.id} got {call.body[:80]!r}'
+            )
         if 'X-Response-Signature' not in call.headers:
-            record.broke('whole answer', f'{call.id} is not signed')
+            record.add_violation('whole answer', f'{call.id} is not signed')
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,8 +1,8 @@
-"""The promises, checked from what callers and replicas saw.
+"""Checks of the promises against what callers and replicas recorded.
 
-Nothing here is shared with the product. Checks that hold whatever
-happens come first; the others hold for what was in touch, that is while
-nothing disturbed the fleet for ``CONTACT_S`` before.
+The checks share no code with the product. ``check_always`` has the checks
+that hold under any fault. Most of the others apply only while no fault has
+disturbed the fleet since ``QUIET_S`` seconds before.
 """
 
 import itertools
@@ -10,22 +10,23 @@
 
 from soak.record import Began, Call, CallEnd, Job, Record
 
-# Not run, and never will be.
+# Statuses of requests that have not run and never will.
 REFUSALS = frozenset((408, 421, 429, 503))
 ENDED_BOUND_S = 3
 DRAIN_BOUND_S = 2
 CONFIG_BOUND_S = 2
-# Later than this after the last byte of a request a connection may not
-# end without an answer, though its replica never had it. Callers measure
-# it, and their own loop is late by up to 0.3 s without a stall being noted.
+# Seconds after the last byte of a request within which the connection may
+# end without a response, if no replica has received the request. Callers
+# measure this time, and 0.3 s of it is the delay of their own event loop that
+# is not recorded as a stall.
 LOSS_SLACK_S = 0.2 + 0.3
 GONE_BOUND_S = 1
-TOUCH_S = 3
+QUIET_S = 3
 ATTEMPTS = 2
 
 
 def check_always(record: Record) -> None:
-    """Check what holds at any moment, under any failure."""
+    """Check the promises that hold at any time and under any fault."""
     runs = record.runs_by_id()
     for call in record.calls:
         _check_call(record, call, runs.get(call.id, []))
@@ -34,7 +35,7 @@
 
 
 def check_at_end(record: Record) -> None:
-    """Check what holds while nothing disturbs the fleet."""
+    """Check all promises, including those that faults may suspend."""
     check_always(record)
     runs = record.runs_by_id()
     _check_ended_jobs(record, runs)
@@ -44,27 +45,36 @@
 
 
 def check_outstanding(record: Record, seconds: float) -> None:
-    """Check that nothing is owed, none having got on for ``seconds``."""
+    """Check that all results are listed after ``seconds`` without progress.
+
+    Jobs that their caller has asked to end are left out.
+    """
     for job in record.jobs.values():
-        owed = job.accepted_at is not None and job.end_asked_at is None
+        owed = job.accepted_at is not None and job.end_requested_at is None
         listed = {each['id'] for each in job.positions}
         missing = set(job.item_ids()) - listed
         if owed and missing:
             text = f'{job.id}: {sorted(missing)}, nothing for {seconds} s'
-            record.broke('items complete', text)
+            record.add_violation('items complete', text)
 
 
 def _check_call(record: Record, call: Call, runs: list[Began]) -> None:
     if call.kind == 'on' and len(runs) > 1:
-        record.broke('once', f'{call.id} ran at {_places(runs)}')
+        record.add_violation('once', f'{call.id} ran at {_locations(runs)}')
     if call.status in REFUSALS and runs and call.kind == 'on':
-        record.broke('refused is not run', f'{call.id} {call.status} ran')
+        record.add_violation(
+            'refused is not run', f'{call.id} {call.status} ran'
+        )
     if call.status in {404, 400} and call.kind != 'version':
-        record.broke('not denied', f'{call.id} got {call.status}')
+        record.add_violation('not denied', f'{call.id} got {call.status}')
     if call.status == 500 and 'X-Response-Signature' not in call.headers:
-        record.broke('no fault of its own', f'{call.id} got {call.body!r}')
+        record.add_violation(
+            'no fault of its own', f'{call.id} got {call.body!r}'
+        )
     if call.status == 503 and 'Retry-After' not in call.headers:
-        record.broke('says when to come back', f'{call.id}: {call.body!r}')
+        record.add_violation(
+            'says when to come back', f'{call.id}: {call.body!r}'
+        )
 
 
 def _check_job(record: Record, job: Job, runs: dict[str, list[Began]]) -> None:
@@ -72,14 +82,18 @@
     listed = Counter(each['id'] for each in job.positions)
     for item_id, count in listed.items():
         if count > 1:
-            record.broke('listed once', f'{item_id} {count} times')
+            record.add_violation('listed once', f'{item_id} {count} times')
         if item_id not in ids:
-            record.broke('whole answer', f'{item_id} listed in {job.id}')
+            record.add_violation(
+                'whole answer', f'{item_id} listed in {job.id}'
+            )
     bodies = dict(zip(ids, job.bodies, strict=True))
     for found in list(job.positions):
         _check_result(record, found, bodies.get(found['id'], ''))
     if job.refused and any(item_id in runs for item_id in ids):
-        record.broke('refused is not run', f'{job.id} {job.statuses} ran')
+        record.add_violation(
+            'refused is not run', f'{job.id} {job.statuses} ran'
+        )
 
 
 def _check_result(record: Record, found: dict[str, str], body: str) -> None:
@@ -91,81 +105,93 @@
             f'{item_id}.{number}' for number in range(1, count + 1)
         )
         if output != whole or poison:
-            record.broke('whole answer', f'{item_id}: {output[:80]!r}')
+            record.add_violation('whole answer', f'{item_id}: {output[:80]!r}')
     elif not poison and record.failed_runs[item_id] < ATTEMPTS:
         text = f'{item_id} after {record.failed_runs[item_id]} failures'
-        record.broke('given up too early', text)
+        record.add_violation('given up too early', text)
 
 
 def _check_ended_jobs(record: Record, runs: dict[str, list[Began]]) -> None:
     for job in record.jobs.values():
-        if job.end_acked_at is None:
+        if job.end_acknowledged_at is None:
             continue
-        bound = job.end_acked_at + ENDED_BOUND_S
+        bound = job.end_acknowledged_at + ENDED_BOUND_S
         begun = itertools.chain.from_iterable(
             runs.get(item_id, ()) for item_id in job.item_ids()
         )
         for each in begun:
             late = each.at > bound
-            if late and record.calm(each.at - TOUCH_S, each.at, True):
-                record.broke('ended jobs stop', f'{each.id} at {each.at}')
+            if late and record.is_undisturbed(each.at - QUIET_S, each.at, True):
+                record.add_violation(
+                    'ended jobs stop', f'{each.id} at {each.at}'
+                )
 
 
 def _check_withheld(record: Record) -> None:
-    """Check that lives that may be given nothing got nothing."""
+    """Check that no request started at an incarnation excluded from them."""
     for began, withheld in itertools.product(record.began, record.withheld):
         settled = withheld.since + DRAIN_BOUND_S
         late = settled < began.at <= withheld.until
         if began.life != withheld.life or not late:
             continue
-        if record.calm(began.at - TOUCH_S, began.at, planned_too=False):
+        if record.is_undisturbed(
+            began.at - QUIET_S, began.at, planned_too=False
+        ):
             text = f'{began.id} at {began.life} at {began.at}'
-            record.broke(withheld.promise, text)
+            record.add_violation(withheld.promise, text)
 
 
 def _check_configuration(record: Record) -> None:
-    """Check that versions come in time and are never taken back.
+    """Check that catalog versions apply in time and are never rolled back.
 
     Version N serves its own route and no other version's.
     """
     newest: dict[str, tuple[int, float]] = {}
     for call in sorted(record.calls, key=lambda each: each.ended_at):
-        calm = record.calm(call.sent_at - TOUCH_S, call.ended_at, True)
-        if call.version is None or not calm:
+        is_undisturbed = record.is_undisturbed(
+            call.sent_at - QUIET_S, call.ended_at, True
+        )
+        if call.version is None or not is_undisturbed:
             continue
         if call.status == 200:
             seen, seen_at = newest.get(call.entry, (0, 0))
             if call.version < seen and call.sent_at > seen_at:
                 text = f'{call.id} v{call.version} after v{seen}'
-                record.broke('never back', text)
+                record.add_violation('never back', text)
             now = (call.version, call.ended_at)
             newest[call.entry] = max((seen, seen_at), now)
         _check_in_force(record, call, call.version)
 
 
 def _check_in_force(record: Record, call: Call, version: int) -> None:
-    """Check an answer against the version that has to be in force."""
+    """Check a response against the catalog version that must be active."""
     settled = call.sent_at - CONFIG_BOUND_S
     known = [number for number, at in record.versions.items() if at <= settled]
     oldest_allowed = max(known)
     if call.status == 200 and version < oldest_allowed:
-        record.broke('in force', f'{call.id}: v{version} is still served')
+        record.add_violation(
+            'in force', f'{call.id}: v{version} is still served'
+        )
     if call.status == 404 and version == max(record.versions):
         if version <= oldest_allowed:
-            record.broke('in force', f'{call.id}: v{version} is not served')
+            record.add_violation(
+                'in force', f'{call.id}: v{version} is not served'
+            )
 
 
 def _check_planned_cuts(record: Record, runs: dict[str, list[Began]]) -> None:
-    """Check that planned work ends no request without its answer."""
+    """Check that planned operations leave no request without a response."""
     for call in record.calls:
         if call.end not in {CallEnd.cut, CallEnd.closed, CallEnd.silent}:
             continue
         took_s = call.ended_at - call.sent_at
         had = call.id in runs or took_s > LOSS_SLACK_S
-        if had and record.calm(call.sent_at - TOUCH_S, call.ended_at, False):
+        if had and record.is_undisturbed(
+            call.sent_at - QUIET_S, call.ended_at, False
+        ):
             text = f'{call.id} {call.end} after {took_s:.2f} s at {call.entry}'
-            record.broke('planned work cuts nothing', text)
+            record.add_violation('planned work cuts nothing', text)
 
 
-def _places(runs: list[Began]) -> str:
+def _locations(runs: list[Began]) -> str:
     return ', '.join(f'{each.life} at {each.at:.3f}' for each in runs)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that strike from outside; each begins, lasts and ends."""
+"""The base class of injected faults; each fault begins and ends."""
 
 import abc
 import random
@@ -7,15 +7,15 @@
 
 
 class Fault(abc.ABC):
-    """One fault, drawn when it begins."""
+    """One injected fault with a target that is drawn at random."""
 
-    # Planned work may not cut a request.
+    # Planned operations may not interrupt a request.
     planned = False
-    # How many times longer than others it lasts.
-    lasts_x = float(1)
+    # Factor by which the fault lasts longer than other faults.
+    duration_factor = float(1)
 
     def __init__(self, world: World, rng: random.Random) -> None:
-        """Draw what it strikes with ``rng``."""
+        """Draw the target with ``rng``."""
         self.world = world
         self.rng = rng
         self.entry = rng.choice(sorted(world.entries))
@@ -23,12 +23,12 @@
 
     @property
     def name(self) -> str:
-        """Return what it is and what it strikes."""
+        """Return the kind of the fault and its target."""
         return f'{type(self).__name__} {self.target}'
 
     @abc.abstractmethod
     def begin(self) -> None:
-        """Strike."""
+        """Inject the fault."""
 
     def end(self) -> None:
-        """Heal; nothing if it is over by itself."""
+        """Undo the fault; does nothing if the fault has no duration."""
--- a/soak/job_callers.py
+++ b/soak/job_callers.py
@@ -1,4 +1,4 @@
-"""Callers that submit jobs, send them again, read and end them."""
+"""Callers that submit, resubmit, read and end jobs."""
 
 import base64
 import json
@@ -16,27 +16,27 @@
 TIMEOUT_S = 4
 ITEMS = (2, 8)
 EVENTS = (5, 40)
-# Of a long item, which outlives its holder's lease.
+# Events of a long item, which runs longer than its holder's lease lasts.
 LONG_EVENTS = 180
 LONG_SHARE = 0.15
 ITEM_EVENT_S = 0.03
-# Tries of a caller before it gives a job up.
-TRIES = 3
+# Number of times that a caller sends a job before it gives up.
+MAX_TRIES = 3
 PAUSE_S = 0.5
 BETWEEN_JOBS_S = (0.5, 2.5)
 POISON = ('impossible', 'failing')
 POISON_SHARE = 0.1
 END_SHARE = 0.15
 RESEND_SHARE = 0.3
-# Later than this after its acceptance a job is known everywhere.
+# Seconds after its acceptance from which every entry must know a job.
 SETTLE_S = 1
 
 
 class JobCaller:
-    """Submits one job after the other and follows each."""
+    """Submits one job after another and follows each."""
 
     def __init__(self, world: World, name: str, seed: int) -> None:
-        """Draw jobs, entries and moments by ``seed``."""
+        """Create a caller that draws jobs, entries and times with ``seed``."""
         self._world = world
         self._name = name
         self._rng = random.Random(seed)  # noqa: S311
@@ -44,7 +44,7 @@
         self._stopped = False
 
     def run(self) -> None:
-        """Submit jobs until told to stop."""
+        """Submit jobs until ``stop`` is called."""
         while not self._stopped:
             job = self._draw()
             self._world.record.jobs[job.id] = job
@@ -54,48 +54,53 @@
             gevent.sleep(self._rng.uniform(*BETWEEN_JOBS_S))
 
     def stop(self) -> None:
-        """Submit no more jobs; go on reading."""
+        """Stop submitting jobs, but continue to read results."""
         self._stopped = True
 
     def follow(self, job: Job) -> None:
-        """Read a job until all is listed, now and then end it."""
+        """Read a job until all results are listed; end some jobs early."""
         ends = self._rng.random() < END_SHARE
-        while not (self._world.over or complete(job)):
+        while not (self._world.finished or complete(job)):
             gevent.sleep(self._rng.uniform(0, 2 * PAUSE_S))
             if self._rng.random() < RESEND_SHARE / 10:
                 self._resend(job)
-            if ends and len(job.positions) and job.end_acked_at is None:
+            if ends and len(job.positions) and job.end_acknowledged_at is None:
                 self.end(job)
-            self.read(job, self._any_entry())
+            self.read(job, self._random_entry())
 
     def read(self, job: Job, entry: str, after: int | None = None) -> int:
-        """Read from a position on, the first unknown one if none is given.
+        """Read the results of a job from the position ``after``.
 
-        Returns the status, 0 without an answer.
+        Without ``after`` it is usually the first position not yet read.
+        Returns the status, or 0 without a response.
         """
-        first = self._first(job) if after is None else after
-        asked_at = time.monotonic()
+        first = self._next_position(job) if after is None else after
+        requested_at = time.monotonic()
         target = f'/api/lots/{job.id}?after={first}'
         status, raw = self._call(entry, 'GET', target)
         known = job.accepted_at is not None
         if known and status in {404, 410}:
-            age_s = asked_at - (job.accepted_at or 0)
+            age_s = requested_at - (job.accepted_at or 0)
             if age_s > SETTLE_S:
-                self._broke('job known', f'{job.id}: {status} at {entry}')
+                self._add_violation(
+                    'job known', f'{job.id}: {status} at {entry}'
+                )
         if status == 200:
-            self._take(job, first, json.loads(raw))
+            self._store_page(job, first, json.has_loaded(raw))
         return status
 
     def end(self, job: Job) -> None:
-        """End a job."""
-        job.end_asked_at = job.end_asked_at or time.monotonic()
+        """End a job and record when the end was acknowledged."""
+        job.end_requested_at = job.end_requested_at or time.monotonic()
         status, _ = self._call(
-            self._any_entry(),
+            self._random_entry(),
             'DELETE',
             f'/api/lots/{job.id}',
         )
         if status == 200:
-            job.end_acked_at = job.end_acked_at or time.monotonic()
+            job.end_acknowledged_at = (
+                job.end_acknowledged_at or time.monotonic()
+            )
 
     def _draw(self) -> Job:
         self._count += 1
@@ -113,15 +118,15 @@
         return self._rng.randint(*EVENTS)
 
     def _submit(self, job: Job) -> None:
-        for _ in range(TRIES):
-            self._send(job, self._any_entry())
+        for _ in range(MAX_TRIES):
+            self._send(job, self._random_entry())
             if job.accepted_at is not None:
                 return
             gevent.sleep(PAUSE_S)
 
     def _resend(self, job: Job) -> None:
-        """Send a job again whose acceptance is seconds old."""
-        self._send(job, self._any_entry())
+        """Send a job again after its acceptance."""
+        self._send(job, self._random_entry())
 
     def _send(self, job: Job, entry: str) -> None:
         items = [
@@ -136,7 +141,7 @@
         ]
         raw = json.dumps({'items': items}).encode()
         headers = {'X-Attempt-Id': job.id, 'Content-Type': 'application/json'}
-        # Unknown until it has ended, also to checks made meanwhile.
+        # None marks an unknown outcome for checks that run during the call.
         number = len(job.statuses)
         job.statuses.append(None)
         status, _ = self._call(entry, 'POST', '/lots/x', raw, headers)
@@ -144,32 +149,34 @@
         if status == 202 and job.accepted_at is None:
             job.accepted_at = time.monotonic()
 
-    def _take(self, job: Job, first: int, page: dict[str, Any]) -> None:
-        """Take a page of results; what was read before may not differ."""
+    def _store_page(self, job: Job, first: int, page: dict[str, Any]) -> None:
+        """Store a page of results; results read before may not have changed."""
         if page['total'] != len(job.bodies):
-            self._broke('results stay', f'{job.id}: total {page["total"]}')
+            self._add_violation(
+                'results stay', f'{job.id}: total {page["total"]}'
+            )
         for position, found in enumerate(page['results'], first):
             if position < len(job.positions):
                 known = job.positions[position]
                 if known != found:
-                    self._broke(
+                    self._add_violation(
                         'results stay',
                         f'{job.id} at {position}: {known} then {found}',
                     )
             elif position == len(job.positions):
                 job.positions.append(found)
 
-    def _first(self, job: Job) -> int:
-        """Return where to read from: mostly on, now and then before."""
+    def _next_position(self, job: Job) -> int:
+        """Return the next position to read, or sometimes an earlier one."""
         if self._rng.random() < RESEND_SHARE:
             return self._rng.randint(0, len(job.positions))
         return len(job.positions)
 
-    def _any_entry(self) -> str:
+    def _random_entry(self) -> str:
         return self._rng.choice(sorted(self._world.caller_links))
 
-    def _broke(self, promise: str, text: str) -> None:
-        self._world.record.broke(promise, text)
+    def _add_violation(self, promise: str, text: str) -> None:
+        self._world.record.add_violation(promise, text)
 
     def _call(
         self,
@@ -179,7 +186,7 @@
         raw: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body of a call, 0 if there is no answer."""
+        """Return status and body of a call; status 0 without a response."""
         address = self._world.caller_links[entry].address
         conn = HTTPConnection(*address, timeout=TIMEOUT_S)
         try:
@@ -193,6 +200,6 @@
 
 
 def complete(job: Job) -> bool:
-    """Tell whether a job owes nothing more."""
+    """Return whether all results are listed or the job was ended."""
     all_listed = len(job.positions) == len(job.bodies)
-    return all_listed or job.end_acked_at is not None
+    return all_listed or job.end_acknowledged_at is not None
--- a/soak/link_faults.py
+++ b/soak/link_faults.py
@@ -1,4 +1,4 @@
-"""Proxies that delay, reset, cut one way, silence or refuse."""
+"""Network faults: delay, reset, data loss, silence and refusal."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class LinkFault(Fault):
-    """A fault of one proxy, drawn among all."""
+    """A fault of one proxy, drawn from all proxies."""
 
     def __init__(self, world: World, rng: random.Random) -> None:
         """Draw the proxy."""
@@ -21,67 +21,67 @@
 
 
 class Delay(LinkFault):
-    """What goes through is late."""
+    """The proxy delays all data."""
 
     def begin(self) -> None:
-        """Delay it."""
+        """Set a random delay."""
         self.link.delay_s = self.rng.uniform(*DELAYS_S)
 
     def end(self) -> None:
-        """Delay nothing any more."""
+        """Remove the delay."""
         self.link.delay_s = 0
 
 
 class Reset(LinkFault):
-    """Open connections are reset."""
+    """The proxy resets its open connections."""
 
     def begin(self) -> None:
-        """Reset them."""
+        """Reset the open connections."""
         self.link.reset()
 
 
 class Silence(LinkFault):
-    """Open connections fall silent; new ones work."""
+    """Open connections stop carrying data; new connections work."""
 
     def begin(self) -> None:
-        """Pass nothing on."""
+        """Stop forwarding on the open connections."""
         self.link.silence()
 
 
 class AnswersLost(LinkFault):
-    """One way is cut: answers do not come."""
+    """The proxy drops responses but forwards requests."""
 
     def begin(self) -> None:
-        """Lose them."""
+        """Start to drop responses."""
         self.link.deaf = True
 
     def end(self) -> None:
-        """Lose them no more; what was open is reset."""
+        """Stop dropping responses and reset open connections."""
         self.link.deaf = False
         self.link.reset()
 
 
 class RequestsLost(LinkFault):
-    """The other way is cut: requests do not arrive."""
+    """The proxy drops requests but forwards responses."""
 
     def begin(self) -> None:
-        """Lose them."""
+        """Start to drop requests."""
         self.link.mute = True
 
     def end(self) -> None:
-        """Lose them no more; what was open is reset."""
+        """Stop dropping requests and reset open connections."""
         self.link.mute = False
         self.link.reset()
 
 
 class Refuse(LinkFault):
-    """Connections are ended and no new one is accepted."""
+    """The proxy closes open connections and refuses new ones."""
 
     def begin(self) -> None:
-        """Refuse."""
+        """Refuse new connections and close the open ones."""
         self.link.refusing = True
         self.link.cut()
 
     def end(self) -> None:
-        """Accept again."""
+        """Accept connections again."""
         self.link.refusing = False
--- a/soak/list_faults.py
+++ b/soak/list_faults.py
@@ -1,4 +1,4 @@
-"""Another writer spoils the list of replicas."""
+"""Faults in which another writer corrupts the list of replicas."""
 
 import random
 import time
@@ -10,26 +10,27 @@
 from standins.machines.spoiled import SPOILED
 from standins.machines.store import Place
 
-# No base64 at all; all others are, of bytes that name no replica.
+# This kind of damage is a value that is not base64. All other kinds are valid
+# base64 of an entry that names no replica.
 NOT_PACKED = 'not packed'
 PACKED_WRONGLY = '%%%'
 STAYS_SHARE = 0.5
 
 
 class ListFault(ReplicaFault):
-    """An entry that names no replica; all others hold."""
+    """A corrupt list entry; all other entries stay valid."""
 
-    # Not a replica fails, nor a way to one: this may cut no request.
+    # No replica and no connection fails, so no request may be interrupted.
     planned = True
 
     def __init__(self, world: World, rng: random.Random) -> None:
-        """Draw what is wrong with the entry."""
+        """Draw the replica and the kind of damage."""
         super().__init__(world, rng)
         self._how = rng.choice([*sorted(SPOILED), NOT_PACKED])
         self.target = f'{self.target}, {self._how}'
 
     def _write(self, place: Place) -> None:
-        """Put a replica's entry at a place, spoiled."""
+        """Write a corrupt copy of the replica's entry at ``place``."""
         if self._how == NOT_PACKED:
             self.world.store.put_packed(place, PACKED_WRONGLY)
             return
@@ -38,15 +39,15 @@
 
 
 class EntrySpoiled(ListFault):
-    """A replica's entry is overwritten, and later as it was before."""
+    """A replica's entry is overwritten and later restored."""
 
     def begin(self) -> None:
-        """Spoil it, unless it is spoiled already."""
+        """Corrupt the entry unless another fault has already done so."""
         self._place = ('servers', '', self.replica.id)
-        self._life = self.replica.life
-        self._began_at = time.monotonic()
-        self._strikes = self._place not in self.world.spoiled
-        if not self._strikes:
+        self._incarnation = self.replica.life
+        self._started_at = time.monotonic()
+        self._applies = self._place not in self.world.spoiled
+        if not self._applies:
             return
         self.world.spoiled.add(self._place)
         self._before = self.world.store.packed(self._place)
@@ -54,13 +55,13 @@
         self._written = self.world.store.packed(self._place)
 
     def end(self) -> None:
-        """Put back what was there if nobody else has written it since."""
-        if not self._strikes:
+        """Restore the entry unless it has been written again meanwhile."""
+        if not self._applies:
             return
         self.world.spoiled.discard(self._place)
         withheld = Withheld(
-            self._life,
-            self._began_at,
+            self._incarnation,
+            self._started_at,
             time.monotonic(),
             'unreadable names none',
         )
@@ -70,15 +71,18 @@
 
 
 class StrayEntry(ListFault):
-    """An entry that no replica has written; half of them stay."""
+    """A corrupt entry of a replica that does not exist.
+
+    The fraction ``STAYS_SHARE`` of these entries is never removed.
+    """
 
     def begin(self) -> None:
-        """Write it."""
+        """Write the entry under a random id."""
         stray_id = f'{STRAY}{self.rng.getrandbits(32)}'
         self._place = ('servers', '', stray_id)
         self._write(self._place)
 
     def end(self) -> None:
-        """Remove it, or leave it for the rest of the run."""
+        """Remove the entry, or leave it for the rest of the run."""
         if self.rng.random() >= STAYS_SHARE:
             self.world.store.remove(self._place)
--- a/soak/process_faults.py
+++ b/soak/process_faults.py
@@ -1,4 +1,4 @@
-"""Signals to entries: killed, suspended, stopped, told to read settings."""
+"""Faults of entry processes: kill, suspension, planned stop and reload."""
 
 import random
 import signal
@@ -8,67 +8,67 @@
 from soak.faults import Fault
 from soak.world import World
 
-# How long an entry works without the store before it is suspended:
-# several short items end meanwhile.
+# Seconds for which an entry runs without the store before it is suspended.
+# Several short items end in that time.
 RUNS_ON_S = 1.5
 
 
 class Kill(Fault):
-    """An entry is killed and comes back."""
+    """An entry is killed and later restarted."""
 
     def begin(self) -> None:
-        """Kill it."""
+        """Kill the entry."""
         self.world.kill(self.entry)
 
     def end(self) -> None:
-        """Start it again."""
+        """Restart the entry."""
         self.world.restart(self.entry)
 
 
 class KillAll(Fault):
-    """Every entry is killed at once."""
+    """All entries are killed at the same time."""
 
     def __init__(self, world: World, rng: random.Random) -> None:
-        """Strike all."""
+        """Create a fault of all entries."""
         super().__init__(world, rng)
         self.target = 'all'
 
     def begin(self) -> None:
-        """Kill them."""
+        """Kill all entries."""
         for name in self.world.entries:
             self.world.kill(name)
 
     def end(self) -> None:
-        """Start them again."""
+        """Restart all entries."""
         for name in self.world.entries:
             self.world.restart(name)
 
 
 class Pause(Fault):
-    """An entry stands still, often past its lease."""
+    """An entry is suspended, often until after its lease expires."""
 
-    lasts_x = 1.8
+    duration_factor = 1.8
 
     def begin(self) -> None:
-        """Suspend it."""
+        """Suspend the entry."""
         self.world.pause(self.entry)
 
     def end(self) -> None:
-        """Let it go on."""
+        """Resume the entry."""
         self.world.resume(self.entry)
 
 
 class CutAndPause(Fault):
-    """An entry loses the store, runs on, is suspended, and has it back.
+    """An entry is partitioned from the store and then suspended.
 
-    It wakes with results that it could not commit, of jobs that others
-    have taken over meanwhile.
+    When it resumes, the store is reachable again. The entry then has
+    uncommitted results of jobs that other entries have taken over.
     """
 
-    lasts_x = 1.8
+    duration_factor = 1.8
 
     def begin(self) -> None:
-        """Cut its way to the store; suspend it a while later."""
+        """Refuse its store connections; suspend it ``RUNS_ON_S`` later."""
         link = self.world.store_links[self.entry]
         link.refusing = True
         link.cut()
@@ -76,34 +76,34 @@
         self.world.pause(self.entry)
 
     def end(self) -> None:
-        """Let it go on, with the store."""
+        """Resume the entry with the store reachable."""
         self.world.store_links[self.entry].refusing = False
         self.world.resume(self.entry)
 
 
 class PlannedStop(Fault):
-    """An entry is stopped as planned and starts again."""
+    """An entry is stopped gracefully and restarted."""
 
     planned = True
 
     def begin(self) -> None:
-        """Stop it; it has to end by itself unless it is suspended."""
+        """Stop the entry; unless suspended, it has to exit in time."""
         in_time = self.world.stop_entry(self.entry)
         if not (in_time or self.entry in self.world.paused):
-            self.world.record.broke('stops in time', self.entry)
+            self.world.record.add_violation('stops in time', self.entry)
 
     def end(self) -> None:
-        """Start it again."""
+        """Restart the entry."""
         self.world.restart(self.entry)
 
 
 class Reload(Fault):
-    """An entry is told that its settings file has changed."""
+    """An entry receives SIGHUP, which makes it reload its settings file."""
 
     planned = True
 
     def begin(self) -> None:
-        """Tell it twice, if it has begun to run."""
+        """Send SIGHUP twice if the entry can already handle it."""
         for _ in range(2):
-            if self.world.loads(self.entry):
+            if self.world.has_loaded(self.entry):
                 self.world.entries[self.entry].send(signal.SIGHUP)
--- a/soak/record.py
+++ b/soak/record.py
@@ -1,4 +1,4 @@
-"""What callers, jobs and replicas saw during a soak."""
+"""Records of calls, jobs, runs, faults and violations in a soak."""
 
 import enum
 import itertools
@@ -9,25 +9,25 @@
 class CallEnd(enum.StrEnum):
     """How a call ended for its caller.
 
-    ``whole`` is an answer with its framed end, ``cut`` one without,
-    ``closed`` a connection that ended before any status came, ``left``
-    one that the caller itself ended, ``unreached`` one that no process
-    ever had.
+    ``whole`` is a response with its framed end and ``cut`` one without it.
+    ``closed`` is a connection that ended before a status arrived, ``silent``
+    a timeout before a status, ``left`` a connection that the caller itself
+    closed, and ``unreached`` one that reached no entry process.
     """
 
     whole = 'whole'
     cut = 'cut'
     closed = 'closed'
     silent = 'silent'
-    left = 'left'
+    caller_closed = 'left'
     unreached = 'unreached'
 
 
 class Call(NamedTuple):
     """One online request as its caller saw it; times are in seconds.
 
-    ``version`` is that of the configuration whose route it asked for,
-    if the route is no version's it is None.
+    ``version`` is the catalog version whose own route the request called,
+    or None if it called a route that all versions have.
     """
 
     id: str
@@ -43,7 +43,7 @@
 
 
 class Began(NamedTuple):
-    """A run that a life of a replica began, of a request or an item."""
+    """The start of a request or an item at an incarnation of a replica."""
 
     id: str
     target: str
@@ -52,9 +52,10 @@
 
 
 class Withheld(NamedTuple):
-    """From when to when a life of a replica may be given nothing, in seconds.
+    """An interval in which an incarnation may receive no requests.
 
-    ``promise`` is what a run that begins there breaks.
+    The times are in seconds. ``promise`` is the promise that a run started
+    there in that interval breaks.
     """
 
     life: str
@@ -64,7 +65,7 @@
 
 
 class Violation(NamedTuple):
-    """A promise that did not hold, and what shows it."""
+    """A broken promise and the evidence for it."""
 
     promise: str
     text: str
@@ -74,18 +75,18 @@
     """A job as its caller knows it."""
 
     def __init__(self, job_id: str, bodies: list[str]) -> None:
-        """Know of nothing but what is in it."""
+        """Create a job that has not been submitted yet."""
         self.id = job_id
         self.bodies = bodies
         self.statuses: list[int | None] = []
         self.accepted_at: float | None = None
-        self.end_asked_at: float | None = None
-        self.end_acked_at: float | None = None
+        self.end_requested_at: float | None = None
+        self.end_acknowledged_at: float | None = None
         self.positions: list[dict[str, str]] = []
 
     @property
     def refused(self) -> bool:
-        """Whether every try was answered that nothing has run."""
+        """Whether every submission was rejected before anything ran."""
         promises = {429, 503}
         return bool(self.statuses) and set(self.statuses) <= promises
 
@@ -94,57 +95,59 @@
         return [f'{self.id}-{number}' for number in range(len(self.bodies))]
 
 
-class Span(NamedTuple):
-    """From when to when something disturbed the fleet, in seconds."""
+class Disturbance(NamedTuple):
+    """An interval in which a fault disturbed the fleet, in seconds."""
 
-    begun_at: float
+    started_at: float
     ended_at: float
     what: str
     planned: bool
 
 
 class Record:
-    """Everything that was seen in one run."""
+    """All records of one run of the soak."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Create an empty record."""
         self.calls: list[Call] = []
         self.began: list[Began] = []
         self.failed_runs: Counter[str] = Counter()
         self.jobs: dict[str, Job] = {}
-        self.spans: list[Span] = []
+        self.disturbances: list[Disturbance] = []
         self.violations: list[Violation] = []
-        # When each version of the configuration was acknowledged.
+        # When the store acknowledged each catalog version, in seconds.
         self.versions: dict[int, float] = {}
         self.withheld: list[Withheld] = []
 
-    def broke(self, promise: str, text: str) -> None:
-        """Note that a promise did not hold."""
+    def add_violation(self, promise: str, text: str) -> None:
+        """Record a broken promise, once for each evidence text."""
         found = Violation(promise, text)
         if found not in self.violations:
             self.violations.append(found)
 
-    def calm(self, since: float, until: float, planned_too: bool) -> bool:
-        """Tell whether nothing disturbed the fleet in a time.
+    def is_undisturbed(
+        self, since: float, until: float, planned_too: bool
+    ) -> bool:
+        """Return whether no fault disturbed the fleet in an interval.
 
-        Planned work counts as a disturbance only if ``planned_too``.
+        Planned operations count as faults only if ``planned_too``.
         """
         return not any(
-            span.begun_at <= until
-            and span.ended_at >= since
-            and (planned_too or not span.planned)
-            for span in self.spans
+            disturbance.started_at <= until
+            and disturbance.ended_at >= since
+            and (planned_too or not disturbance.planned)
+            for disturbance in self.disturbances
         )
 
     def runs_by_id(self) -> dict[str, list[Began]]:
-        """Return the runs of each request or item, the first ones first."""
+        """Return the runs of each request or item, in start order."""
         found: dict[str, list[Began]] = defaultdict(list)
         for began in self.began:
             found[began.id].append(began)
         return found
 
     def figures(self) -> dict[str, int]:
-        """Return counts for the report of a run."""
+        """Return the counts for the report."""
         ends = Counter(
             str(call.status or call.end.value) for call in self.calls
         )
@@ -157,5 +160,5 @@
             'jobs': len(self.jobs),
             'items_listed': len(list(listed)),
             'runs': len(self.began),
-            'faults': len(self.spans),
+            'faults': len(self.disturbances),
         }
--- a/soak/replica.py
+++ b/soak/replica.py
@@ -1,4 +1,4 @@
-"""The replica of the soak: its output names the request it is for."""
+"""The replica of the soak; its output contains the request id."""
 
 import math
 import time
@@ -11,24 +11,24 @@
 from standins.machines.replica import MachineReplica
 
 HANG_S = 30
-# So begin the ids of entries on the list that no replica has written.
+# Prefix of the ids in list entries that no replica has written.
 STRAY = 'stray-'
 
 
 class SoakReplica(MachineReplica):
-    """Notes each run; ``grey`` is the share of requests that it fails."""
+    """Records each run; ``grey`` is the share of requests that fail."""
 
     def __init__(self, replica_id: str, slots: int, record: Record) -> None:
-        """Note runs in ``record``."""
+        """Create a replica that records its runs in ``record``."""
         super().__init__(replica_id, slots)
         self.grey = float(0)
-        self.grey_how = 'errors'
-        self.slow_x = float(1)
+        self.grey_mode = 'errors'
+        self.slow_factor = float(1)
         self._record = record
         self._count = 0
 
     def __call__(self, environ: dict[str, Any], start: Any) -> Any:
-        """Serve one request, as WSGI has it."""
+        """Serve one request, following the WSGI protocol."""
         headers = dict(environ[HEADERS_KEY])
         request_id = headers.get('X-Attempt-Id', '')
         expected = headers.get('X-Expect-Instance', '')
@@ -38,31 +38,31 @@
             self._record.began.append(began)
         if expected.startswith(STRAY):
             text = f'{request_id} was sent to {expected}'
-            self._record.broke('unreadable names none', text)
+            self._record.add_violation('unreadable names none', text)
         return super().__call__(environ, start)
 
     @property
     def life(self) -> str:
-        """Return what tells this life from others, of its id too."""
+        """Return a name that is unique to the current incarnation."""
         return f'{self.id} born {self.born}'
 
     def text(self, request_id: str, number: int) -> str:
-        """Return the data of an event."""
+        """Return the data of event ``number``, which has the request id."""
         return f'{request_id}.{number}'
 
     def plain(self, request_id: str, body: bytes) -> bytes:
-        """Return the body of a plain answer."""
+        """Return the body of a response that is not streamed."""
         return f'{request_id} '.encode() + body
 
     def failing(self, request_id: str, body: bytes) -> str | None:
-        """Return the status of a run that fails, if this one does."""
+        """Return the status of a request that fails, None for one that runs."""
         status = super().failing(request_id, body)
         self._count += 1
-        # Spread evenly, so that a seed says which requests fail.
+        # Failures are spread evenly, so that the seed determines them.
         grey = math.modf(self._count * self.grey)[0] + self.grey >= 1
         if status is None and grey:
-            if self.grey_how == 'hang':
-                # Whoever asked has long left when the answer comes.
+            if self.grey_mode == 'hang':
+                # The sender has disconnected long before the response comes.
                 gevent.sleep(HANG_S)
                 return '500 Failed'
             status = '500 Failed'
@@ -71,5 +71,5 @@
         return status
 
     def step_s(self, requested_s: float) -> float:
-        """Return how long an event takes, in seconds."""
-        return requested_s * self.slow_x
+        """Return the seconds that an event takes, given the requested ones."""
+        return requested_s * self.slow_factor
--- a/soak/replica_faults.py
+++ b/soak/replica_faults.py
@@ -1,4 +1,4 @@
-"""Replicas that crash, fail, slow down or leave; configurations."""
+"""Faults of replicas, and new catalog versions."""
 
 import math
 import random
@@ -11,7 +11,7 @@
 
 GREY = (0.2, 0.7)
 SLOW_X = (2, 8)
-# Of the replicas that start again, so many listen at another address.
+# Share of the restarted replicas that listen at another address.
 MOVED_SHARE = 0.3
 
 
@@ -27,15 +27,15 @@
 
     @property
     def link(self) -> Forwarder:
-        """Return the way to the replica, which may have moved."""
+        """Return the proxy of the replica, which may have a new address."""
         return self.world.replica_links[self.number]
 
 
 class Crash(ReplicaFault):
-    """A replica crashes; another life of it listens at its address."""
+    """A replica crashes and returns at its address under a new id."""
 
     def begin(self) -> None:
-        """Break off what it does; it forgets who it was."""
+        """Reset the connections and give the replica a new id."""
         old = self.replica.id
         self.link.refusing = True
         self.link.reset()
@@ -43,82 +43,82 @@
         self._old = old
 
     def end(self) -> None:
-        """Come back under the new name; the old entry goes."""
+        """Accept connections again; replace the old list entry."""
         self.link.refusing = False
         self.world.store.remove(('servers', '', self._old))
         self.world.register(self.replica, self.link.address)
 
 
 class Restart(ReplicaFault):
-    """A replica crashes and starts again under the id that it had."""
+    """A replica crashes and restarts under the same id."""
 
     def begin(self) -> None:
-        """Break off what it does."""
+        """Reset the connections and refuse new ones."""
         self.link.refusing = True
         self.link.reset()
 
     def end(self) -> None:
-        """Begin a life that knows nothing of the one before."""
+        """Start a new incarnation, sometimes at another address."""
         moved = self.rng.random() < MOVED_SHARE
         self.world.restart_under_same_id(self.number, moved)
 
 
 class BreaksOff(ReplicaFault):
-    """Some streams are broken off in the middle of an event."""
+    """Some streams are closed in the middle of an event."""
 
     def begin(self) -> None:
-        """Break the next ones off."""
+        """Let the replica close the next streams early."""
         self.replica.cut_after = [self.rng.randint(1, 6) for _ in range(4)]
 
     def end(self) -> None:
-        """Break no more off."""
+        """Let the replica complete its streams again."""
         self.replica.cut_after = []
 
 
 class Crossed(ReplicaFault):
-    """Some answers are those of other requests."""
+    """Some responses have the id of another request."""
 
     def begin(self) -> None:
-        """Answer the next ones wrongly."""
+        """Let the next responses have a wrong request id."""
         self.replica.spoil = ['crossed', 'crossed', 'crossed']
 
     def end(self) -> None:
-        """Answer well again."""
+        """Return correct responses again."""
         self.replica.spoil = []
 
 
 class Grey(ReplicaFault):
-    """A share of the requests fails, or hangs."""
+    """A share of the requests fails or hangs."""
 
     def begin(self) -> None:
-        """Fail."""
-        self.replica.grey_how = self.rng.choice(('errors', 'hang'))
+        """Draw the kind of failure and the share of requests."""
+        self.replica.grey_mode = self.rng.choice(('errors', 'hang'))
         self.replica.grey = self.rng.uniform(*GREY)
 
     def end(self) -> None:
-        """Be well."""
+        """Stop failing requests."""
         self.replica.grey = 0
 
 
 class Slow(ReplicaFault):
-    """Everything takes several times as long."""
+    """Events take several times as long as requested."""
 
     def begin(self) -> None:
-        """Slow down."""
-        self.replica.slow_x = self.rng.uniform(*SLOW_X)
+        """Draw the slowdown factor."""
+        self.replica.slow_factor = self.rng.uniform(*SLOW_X)
 
     def end(self) -> None:
-        """Be as fast as before."""
-        self.replica.slow_x = 1
+        """Return to normal speed."""
+        self.replica.slow_factor = 1
 
 
 class Leaving(ReplicaFault):
-    """A replica is listed as leaving and serves what comes all the same."""
+    """A replica is listed as draining but serves whatever it receives."""
 
     planned = True
 
     def begin(self) -> None:
-        """Say that it leaves."""
+        """List the replica as draining; it may receive no new requests."""
         self.world.register(self.replica, self.link.address, 'draining')
         withheld = Withheld(
             self.replica.life,
@@ -129,7 +129,7 @@
         self.world.record.withheld.append(withheld)
 
     def end(self) -> None:
-        """Come back as a new life of the replica."""
+        """Register the replica again under a new id."""
         old = self.replica.id
         self.replica.id = f'{old}+'
         self.world.store.remove(('servers', '', old))
@@ -137,15 +137,15 @@
 
 
 class Reconfigure(Fault):
-    """The operator puts new versions in force, two in a row."""
+    """The operator writes two new catalog versions."""
 
     planned = True
 
     def begin(self) -> None:
-        """Write the first."""
+        """Write the first new version."""
         self.target = f'v{self.world.version + 1}'
         self.world.reconfigure()
 
     def end(self) -> None:
-        """Write the second."""
+        """Write the second new version."""
         self.world.reconfigure()
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: start, harm, heal, wait, and say what did not hold."""
+"""One seeded run: start the fleet, inject faults, wait and check."""
 
 import itertools
 import random
@@ -17,17 +17,18 @@
 from soak.schedule import schedule
 from soak.world import World
 
-# After the last fault: until every entry serves again.
+# Seconds after the last fault within which every entry must serve again.
 RECOVERY_S = 12
-# And without any item being listed: for lost entries to be taken for gone,
-# jobs to be taken over, and their longest items to run.
+# Seconds without a newly listed item after which the wait for jobs ends. They
+# allow for the detection of failed entries, the takeover of their jobs and the
+# run of the longest items.
 FINISH_S = 18
 POLL_S = 0.1
 WATCH_S = 1
 
 
 class Size(NamedTuple):
-    """How large a run is; ``seconds`` is how long faults begin."""
+    """The size of a run; faults start in its first ``seconds``."""
 
     seconds: float = 20
     entries: int = 3
@@ -38,7 +39,7 @@
 
 
 def run(seed: int, size: Size, folder: Path) -> Record:
-    """Run a seed; the logs of the entries go to ``folder``."""
+    """Run a seed with entry logs in ``folder``; return its record."""
     names = [f'entry-{number}' for number in range(size.entries)]
     world = World(folder, size.replicas, size.slots)
     try:
@@ -61,58 +62,64 @@
     tasks = [gevent.spawn(each.run) for each in callers]
     submitting = [gevent.spawn(each.run) for each in job_callers]
     watch = gevent.spawn(_watch, world)
-    _strike(world, seed, size)
-    world.note_own_ends()
+    _inject_faults(world, seed, size)
+    world.record_unexpected_exits()
     for caller in job_callers:
         caller.stop()
-    # A submission under way may still be accepted.
+    # A submission in flight may still be accepted.
     gevent.joinall(submitting, raise_error=True)
-    # What is left of the jobs finds slots free.
+    # Online callers stop, so that the remaining job items find free slots.
     for task in tasks:
-        _end(task)
+        _stop_task(task)
     _recover(world, job_callers[0])
-    _end(watch)
+    _stop_task(watch)
     checks.check_at_end(world.record)
 
 
-def _end(task: gevent.Greenlet) -> None:
-    """End a task; one that failed has left callers unheard, so raise."""
+def _stop_task(task: gevent.Greenlet) -> None:
+    """Stop a task.
+
+    Raises the task's exception if it has failed, since the record is then
+    incomplete.
+    """
     if task.ready():
         task.get()
     else:
         task.kill()
 
 
-def _strike(world: World, seed: int, size: Size) -> None:
-    """Begin and end every fault of the schedule in its time."""
+def _inject_faults(world: World, seed: int, size: Size) -> None:
+    """Begin and end every scheduled fault at its time."""
     began_at = time.monotonic()
-    strikes = []
-    for number, strike in enumerate(schedule(seed, size.seconds)):
-        gevent.sleep(max(0, began_at + strike.begins_s - time.monotonic()))
+    fault_tasks = []
+    for number, scheduled in enumerate(schedule(seed, size.seconds)):
+        gevent.sleep(max(0, began_at + scheduled.begins_s - time.monotonic()))
         rng = random.Random(f'{seed}/{number}')  # noqa: S311
-        fault = strike.kind(world, rng)
-        strikes.append(gevent.spawn(_last, world, fault, strike.lasts_s))
-    gevent.joinall(strikes, raise_error=True)
+        fault = scheduled.kind(world, rng)
+        fault_tasks.append(
+            gevent.spawn(_run_fault, world, fault, scheduled.lasts_s)
+        )
+    gevent.joinall(fault_tasks, raise_error=True)
 
 
-def _last(world: World, fault: Fault, lasts_s: float) -> None:
-    world.disturb(fault, fault.name, fault.planned)
+def _run_fault(world: World, fault: Fault, lasts_s: float) -> None:
+    world.begin_disturbance(fault, fault.name, fault.planned)
     fault.begin()
     gevent.sleep(lasts_s)
     fault.end()
-    world.undisturb(fault)
+    world.end_disturbance(fault)
 
 
 def _watch(world: World) -> None:
-    """Check what holds always while the run goes on."""
+    """Check the promises that always hold, throughout the run."""
     while True:
         gevent.sleep(WATCH_S)
-        world.note_own_ends()
+        world.record_unexpected_exits()
         checks.check_always(world.record)
 
 
 def _recover(world: World, reader: JobCaller) -> None:
-    """Wait until all is served and done; note what is not in time."""
+    """Wait for recovery and for the jobs; record what is late."""
     gevent.joinall(
         [gevent.spawn(_probe, world, name) for name in world.entries],
         raise_error=True,
@@ -122,15 +129,17 @@
     ]
     _wait_for_jobs(jobs)
     checks.check_outstanding(world.record, FINISH_S)
-    # Every entry shows every job, from the start and from its middle.
+    # Every entry must list every job, from its start and from its middle.
     for job, name in itertools.product(jobs, world.entries):
         firsts = {0, len(job.positions) // 2}
         if {reader.read(job, name, first) for first in firsts} != {200}:
-            world.record.broke('results readable', f'{job.id} at {name}')
+            world.record.add_violation(
+                'results readable', f'{job.id} at {name}'
+            )
 
 
 def _wait_for_jobs(jobs: list[Job]) -> None:
-    """Wait until all jobs are done, or none has got on for a while."""
+    """Wait until all jobs are done, or ``FINISH_S`` without progress."""
     listed, since = 0, time.monotonic()
     while not all(map(complete, jobs)):
         now_listed = sum(len(job.positions) for job in jobs)
@@ -146,7 +155,7 @@
     now = time.monotonic()
     if not _within(RECOVERY_S, now, lambda: caller.probe(name)):
         text = f'{name} serves nothing after {RECOVERY_S} s'
-        world.record.broke('recovers', text)
+        world.record.add_violation('recovers', text)
 
 
 def _within(
@@ -154,7 +163,7 @@
     began_at: float,
     happened: Callable[[], bool],
 ) -> bool:
-    """Wait until something has happened; tell whether it has."""
+    """Poll ``happened`` until it is true; return False if too late."""
     while time.monotonic() < began_at + bound_s:
         if happened():
             return True
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults a seed has, when each begins and how long it lasts."""
+"""The schedule of faults that a seed determines."""
 
 import random
 from collections.abc import Iterator
@@ -65,36 +65,40 @@
     Grey,
     Slow,
 )
-# Lower seeds draw from the tables above, as they always have; what has been
-# added since comes in the higher ones.
+# Newer faults are drawn by higher seeds only, so that lower seeds, which are
+# kept as regression cases, draw the same faults as before.
 FIRST_SEED_OF_PAUSES = 100
 PAUSES = (CutAndPause, CutAndPause)
 FIRST_SEED_OF_LISTS = 200
 LISTS = (EntrySpoiled, StrayEntry)
 RESTARTS = (Restart, Restart)
-# One seed in so many has planned work alone, which may cut nothing.
+# Every seed that this number divides has planned operations only, which may
+# not interrupt a request.
 PLANNED_EVERY = 4
 GAPS_S = (0.1, 2.0)
 LASTS_S = (0.3, 5.0)
 
 
-class Strike(NamedTuple):
-    """A fault and when it begins and ends, in seconds from the start."""
+class ScheduledFault(NamedTuple):
+    """A fault, its start in seconds from the run's start, and its duration."""
 
     begins_s: float
     lasts_s: float
     kind: type[Fault]
 
 
-def schedule(seed: int, seconds: float) -> Iterator[Strike]:
-    """Yield the faults of a seed in order; they may overlap and recur."""
+def schedule(seed: int, seconds: float) -> Iterator[ScheduledFault]:
+    """Yield the faults of a seed in start order.
+
+    Faults may overlap, and a kind of fault may recur.
+    """
     rng = random.Random(seed)  # noqa: S311
     kinds = _kinds(seed)
     at_s = float(0)
     while at_s < seconds:
         lasts_s = rng.uniform(*LASTS_S)
         kind = rng.choice(kinds)
-        yield Strike(at_s, lasts_s * kind.lasts_x, kind)
+        yield ScheduledFault(at_s, lasts_s * kind.duration_factor, kind)
         at_s += rng.uniform(*GAPS_S)
 
 
--- a/soak/store_faults.py
+++ b/soak/store_faults.py
@@ -1,4 +1,4 @@
-"""The store is away, slow, loses answers or forgets."""
+"""Faults of the store: unavailable, slow, lost responses or history."""
 
 import random
 
@@ -13,65 +13,68 @@
     """A fault of the store."""
 
     def __init__(self, world: World, rng: random.Random) -> None:
-        """Strike the store."""
+        """Create a fault of the store."""
         super().__init__(world, rng)
         self.target = 'store'
         self.store = world.store
 
 
 class StoreDown(StoreFault):
-    """Every call is answered 503."""
+    """The store returns 503 for every call."""
 
     def begin(self) -> None:
-        """Go away."""
+        """Make the store unavailable."""
         self.store.down = True
 
     def end(self) -> None:
-        """Come back."""
+        """Make the store available again."""
         self.store.down = False
 
 
 class StoreSlow(StoreFault):
-    """Every answer takes its time."""
+    """The store delays its responses."""
 
     def begin(self) -> None:
-        """Slow down."""
+        """Set a random delay."""
         self.store.slow_s = self.rng.uniform(*SLOW_S)
 
     def end(self) -> None:
-        """Be as fast as before."""
+        """Remove the delay."""
         self.store.slow_s = 0
 
 
 class AnswersOfWritesLost(StoreFault):
-    """Writes are done, not done, or done late, and nobody hears."""
+    """Writes get no response.
+
+    The store applies them, does not apply them, or applies them late.
+    """
 
     def begin(self) -> None:
-        """Lose the answers of the next writes."""
+        """Draw what happens to the next writes."""
         kinds = ('lost before', 'lost after', 'late')
         count = self.rng.randint(*LOST)
         self.store.faults = self.rng.choices(kinds, k=count)
 
     def end(self) -> None:
-        """Lose no more."""
+        """Respond to all writes again."""
         self.store.faults = []
 
 
 class HistoryLost(StoreFault):
-    """Watches have to read everything anew."""
+    """The store drops its history, so that watches read all rows again."""
 
     def begin(self) -> None:
-        """Forget."""
+        """Drop the history."""
         self.store.forget_history()
 
 
 class StoreUnreachable(Fault):
-    """The store turns some entries away, often past their leases."""
+    """Some entries cannot reach the store, often past lease expiry."""
 
-    lasts_x = 1.8
+    duration_factor = 1.8
 
     def begin(self) -> None:
-        """Turn half of them away."""
+        """Refuse the connections of half of the entries."""
         names = sorted(self.world.store_links)
         self._names = self.rng.sample(names, max(1, len(names) // 2))
         self.target = ' '.join(self._names)
@@ -80,6 +83,6 @@
             self.world.store_links[name].cut()
 
     def end(self) -> None:
-        """Serve them again."""
+        """Accept their connections again."""
         for name in self._names:
             self.world.store_links[name].refusing = False
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: entries as processes, and ways to harm them."""
+"""The fleet of a soak, and operations that disturb it."""
 
 import signal
 import subprocess  # noqa: S404
@@ -8,7 +8,7 @@
 
 import gevent
 
-from soak.record import Record, Span
+from soak.record import Disturbance, Record
 from soak.replica import SoakReplica
 from standins.forwarder import Forwarder
 from standins.machines.replica import MachineReplica
@@ -16,38 +16,39 @@
 from standins.machines.store import Place
 from standins.waiting import wait_for
 
-# A planned stop has to be over within this time, in seconds.
+# Seconds within which an entry has to exit after a planned stop.
 GRACE_S = 8
-# A process that took part in no fault for so long is in touch again.
-CONTACT_S = 3
-# The soak's own loop was late by so much: what it measured meanwhile
-# says nothing of the fleet.
+# Seconds after the end of a fault until the processes that it affected are
+# assumed to have reconnected.
+RECONNECT_S = 3
+# Delay of the soak's own event loop, in seconds, above which its measurements
+# say nothing about the fleet.
 STALL_S = 0.3
 TICK_S = 0.05
 
 
 class World(MachineSite):
-    """Entries behind proxies, the store, and replicas that can fail."""
+    """Entries behind proxies, a store, and replicas that can fail."""
 
     def __init__(self, folder: Path, replicas: int, slots: int) -> None:
-        """Make everything but the entries."""
+        """Create the store and the replicas; ``begin`` starts the entries."""
         self.record = Record()
         super().__init__(folder, replicas, slots)
         self.caller_links: dict[str, Forwarder] = {}
-        self.ending: set[str] = set()
+        self.expected_exits: set[str] = set()
         self.paused: set[str] = set()
         self._starting: set[str] = set()
-        self.over = False
-        self.active: dict[object, tuple[float, str, bool]] = {}
-        # Entries of replicas that another writer has overwritten.
+        self.finished = False
+        self.active_disturbances: dict[object, tuple[float, str, bool]] = {}
+        # Places of list entries that another writer has overwritten.
         self.spoiled: set[Place] = set()
 
     def make_replica(self, replica_id: str, slots: int) -> MachineReplica:
-        """Return a replica that notes its runs."""
+        """Return a replica that records its runs."""
         return SoakReplica(replica_id, slots, self.record)
 
     def begin(self, names: list[str]) -> None:
-        """Start everything and wait until every entry is ready."""
+        """Start all processes and wait until every entry is ready."""
         self.start()
         self.reconfigure()
         for name in names:
@@ -59,7 +60,7 @@
         gevent.spawn(self._watch_stalls)
 
     def reconfigure(self) -> None:
-        """Put a version in force whose own route replaces the last one's."""
+        """Write a catalog version with a route that only this version has."""
         number = self.version + 1
         own = {
             'name': f'v{number}',
@@ -69,37 +70,39 @@
         self.configure([*ROUTES, own])
         self.record.versions[number] = time.monotonic()
 
-    def disturb(self, key: object, what: str, planned: bool) -> None:
-        """Note that something begins to disturb the fleet."""
-        self.active[key] = (time.monotonic(), what, planned)
+    def begin_disturbance(self, key: object, what: str, planned: bool) -> None:
+        """Record that a fault begins to disturb the fleet."""
+        self.active_disturbances[key] = (time.monotonic(), what, planned)
 
-    def undisturb(self, key: object) -> None:
-        """Note that it is over, for what was in touch all the while."""
-        begun_at, what, planned = self.active.pop(key)
-        until = time.monotonic() + CONTACT_S
-        self.record.spans.append(Span(begun_at, until, what, planned))
+    def end_disturbance(self, key: object) -> None:
+        """Record that a fault ended, with time for processes to reconnect."""
+        started_at, what, planned = self.active_disturbances.pop(key)
+        until = time.monotonic() + RECONNECT_S
+        self.record.disturbances.append(
+            Disturbance(started_at, until, what, planned)
+        )
 
-    def lives(self, name: str) -> bool:
-        """Tell whether an entry's process runs."""
+    def is_running(self, name: str) -> bool:
+        """Return whether an entry's process is running."""
         return self.entries[name].process.poll() is None
 
-    def loads(self, name: str) -> bool:
-        """Tell whether an entry's own code has begun to run.
+    def has_loaded(self, name: str) -> bool:
+        """Return whether an entry's own code has started to run.
 
-        Before that, for some 50 ms, it is the interpreter's start that a
-        signal meets, and no program can stand one.
+        For about 50 ms before that, the Python interpreter is starting, and
+        a signal would end any program.
         """
         maps = Path(f'/proc/{self.entries[name].process.pid}/maps')
-        return self.lives(name) and 'gevent' in maps.read_text()
+        return self.is_running(name) and 'gevent' in maps.read_text()
 
     def kill(self, name: str) -> None:
-        """End an entry at once."""
-        self.ending.add(name)
+        """Kill an entry."""
+        self.expected_exits.add(name)
         self.entries[name].kill()
 
     def stop_entry(self, name: str) -> bool:
-        """Stop an entry as planned; tell whether it ended in time."""
-        self.ending.add(name)
+        """Stop an entry gracefully; return whether it exited in time."""
+        self.expected_exits.add(name)
         process = self.entries[name]
         process.send(signal.SIGTERM)
         try:
@@ -110,15 +113,15 @@
         return True
 
     def restart(self, name: str) -> None:
-        """Start an entry again if its process has ended."""
-        if self.over or self.lives(name) or name in self._starting:
+        """Restart an entry if its process has exited."""
+        if self.finished or self.is_running(name) or name in self._starting:
             return
-        # Starting a process takes a while, and two faults that end
-        # together would both begin it.
+        # Starting a process takes time. Without this mark, two faults that
+        # end at the same time would both start the entry.
         self._starting.add(name)
         self.spawn_entry(name)
         self._starting.discard(name)
-        self.ending.discard(name)
+        self.expected_exits.discard(name)
 
     def pause(self, name: str) -> None:
         """Suspend an entry's process."""
@@ -126,21 +129,23 @@
         self.entries[name].send(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let an entry's process go on."""
+        """Resume an entry's process."""
         self.paused.discard(name)
         self.entries[name].send(signal.SIGCONT)
 
-    def note_own_ends(self) -> None:
-        """Note the entries that ended though nobody asked them to."""
+    def record_unexpected_exits(self) -> None:
+        """Record entries that exited although no fault ended them."""
         for name, process in self.entries.items():
             status = process.process.poll()
-            if status is not None and name not in self.ending:
-                self.record.broke('own end', f'{name} ended with {status}')
-                self.ending.add(name)
+            if status is not None and name not in self.expected_exits:
+                self.record.add_violation(
+                    'own end', f'{name} ended with {status}'
+                )
+                self.expected_exits.add(name)
 
     def stop(self) -> None:
-        """End what this soak has started."""
-        self.over = True
+        """Stop all processes, proxies and servers of this soak."""
+        self.finished = True
         for name in self.paused.copy():
             self.resume(name)
         for link in self.caller_links.values():
@@ -148,15 +153,17 @@
         super().stop()
 
     def _watch_stalls(self) -> None:
-        """Note when this process itself could not keep time."""
-        while not self.over:
+        """Record when the event loop of this process was late."""
+        while not self.finished:
             before = time.monotonic()
             gevent.sleep(TICK_S)
             late_s = time.monotonic() - before - TICK_S
             if late_s > STALL_S:
-                until = time.monotonic() + CONTACT_S
-                self.record.spans.append(
-                    Span(before, until, f'stall {late_s:.2f}', planned=False),
+                until = time.monotonic() + RECONNECT_S
+                self.record.disturbances.append(
+                    Disturbance(
+                        before, until, f'stall {late_s:.2f}', planned=False
+                    ),
                 )
 
 
