--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements: traces replayed through real processes, cost, capacity."""
+"""Benchmarks: replayed traces, cost of the request path, and capacity."""
 
 from gevent import monkey
 
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -1,4 +1,4 @@
-"""Sends one online request and times its tokens."""
+"""A client that sends online requests and times their tokens."""
 
 import time
 from types import MappingProxyType
@@ -14,20 +14,23 @@
 IO_ERRORS = (OSError, HTTPParseError)
 TOKEN = MappingProxyType({'Authorization': 'Bearer demo'})
 PATH = '/v1/chat/completions'
-WORDS = 'satır '
+PROMPT_WORD = 'satır '
 
 
 class Caller:
-    """Calls entries in turn, as callers behind a balancer do."""
+    """Calls entries in turn, as callers behind a load balancer do."""
 
     def __init__(self, entries: list[Address]) -> None:
-        """Call ``entries``."""
+        """Create a client that calls ``entries``."""
         self._entries = entries
         self._clients = Clients(2, 30)
         self._turn = 0
 
-    def send(self, event: Event, began: float) -> Answer:
-        """Stream one answer; return its times."""
+    def send(self, event: Event, trace_start: float) -> Answer:
+        """Stream one response and return its times.
+
+        ``trace_start`` is the start of the trace in monotonic seconds.
+        """
         self._turn += 1
         address = self._entries[self._turn % len(self._entries)]
         sent = time.monotonic()
@@ -41,7 +44,7 @@
             after - before
             for before, after in zip(stamps, stamps[1:], strict=False)
         )
-        return Answer(sent - began, first_s, gaps, outcome)
+        return Answer(sent - trace_start, first_s, gaps, outcome)
 
     def _stream(
         self,
@@ -67,9 +70,9 @@
 
 
 def message_of(event: Event) -> dict[str, Any]:
-    """Return a request whose prompt begins as its group's does."""
+    """Return the request body; its prompt has the prefix of its group."""
     prefix = f'group {event.group} '.ljust(600, '.')
-    own = f'{event.at} {WORDS * (event.prompt_tokens // 6)}'
+    own = f'{event.at} {PROMPT_WORD * (event.prompt_tokens // 6)}'
     return {
         'model': 'yazman',
         'messages': [{'role': 'user', 'content': f'{prefix}{own}'}],
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,8 @@
-"""Measures slopes by role and writes the figures of docs/CAPACITY.md."""
+"""Measures slopes of time and memory for docs/CAPACITY.md.
+
+``python -m bench.capacity`` also prints the slopes and writes them to
+.run/capacity.json.
+"""
 
 import json
 import random
@@ -46,8 +50,8 @@
 ORDERS = (1000, 5000, 20_000, 50_000)
 
 
-def picking() -> Fit:
-    """Processor time of one choice, by replicas known."""
+def replica_choice_time() -> Fit:
+    """Measure the processor time to pick a replica, by known replicas."""
     found = []
     for size in REPLICAS:
         picker = PrefixPicker(random.Random(1))
@@ -60,8 +64,8 @@
     return fit_line('one choice of a replica', 'us', REPLICAS, found)
 
 
-def subsetting() -> Fit:
-    """Processor time of taking the host list, by hosts."""
+def subset_time() -> Fit:
+    """Measure the processor time to choose a subset, by listed hosts."""
     entries = [f'10.1.{n // 250}.{n % 250}:80' for n in range(360)]
     found = []
     for size in HOSTS:
@@ -73,25 +77,25 @@
 
 
 def replica_memory() -> Fit:
-    """Memory of the sidecars an entry knows."""
+    """Measure the memory of the sidecars known to an entry."""
     found = [memory_bytes(lambda: hosts_of(size)) for size in REPLICAS]
     return fit_line('sidecars known', 'bytes', REPLICAS, found)
 
 
 def settings_memory() -> Fit:
-    """Memory of the settings with the token and service indexes."""
+    """Measure the memory of the settings and their indexes, by teams."""
     found = [memory_bytes(lambda: tree_of(size)) for size in TEAMS]
     return fit_line('settings in force', 'bytes', TEAMS, found)
 
 
-def settings_load() -> Fit:
-    """Processor time of taking a whole snapshot at the start."""
+def snapshot_load_time() -> Fit:
+    """Measure the processor time to load a settings snapshot, by teams."""
     found = [cpu_us(lambda: tree_of(size), 1) for size in TEAMS]
     return fit_line('loading a snapshot', 'us', TEAMS, found)
 
 
-def settings_change() -> Fit:
-    """Processor time of applying one change, by teams in force."""
+def change_time() -> Fit:
+    """Measure the processor time to apply one change, by teams."""
     found = []
     for size in TEAMS:
         tree = tree_of(size)[0]
@@ -106,8 +110,8 @@
     return fit_line('applying one change', 'us', TEAMS, found)
 
 
-def scanning() -> Fit:
-    """Processor time of one scan, by open spans in the entry's shards."""
+def scan_time() -> Fit:
+    """Measure the processor time of one scan, by open spans scanned."""
     found = []
     for size in SPANS:
         raw = wire.encode(
@@ -126,19 +130,19 @@
 
 
 def span_row_bytes() -> int:
-    """Return the bytes of one span's row, half done."""
+    """Return the size in bytes of the row of a half-finished span."""
     return len(wire.encode(span_of(1)._asdict()))
 
 
-def accepting() -> tuple[Fit, Fit]:
-    """Rows written for one job, and reads to resume it, by items."""
+def job_table_calls() -> tuple[Fit, Fit]:
+    """Count rows written for a job and reads to show it, by items."""
     rows = []
     reads = []
     for size in ITEMS:
         table = MemoryTable()
-        kept = (16, table, MemoryObjects(), ManualClock())
-        jobs = JobStore(*kept)
-        reader = JobReader(*kept)
+        store_args = (16, table, MemoryObjects(), ManualClock())
+        jobs = JobStore(*store_args)
+        reader = JobReader(*store_args)
         job = jobs.accept(submission_of(size))
         rows.append(len(table.store.rows))
         table.reads = 0
@@ -151,13 +155,13 @@
 
 
 def ledger_memory() -> Fit:
-    """Memory of a sidecar's ledger, by orders remembered."""
+    """Measure the memory of a sidecar's ledger, by recorded orders."""
     found = [memory_bytes(lambda: ledger_of(size)) for size in ORDERS]
     return fit_line('orders in the ledger', 'bytes', ORDERS, found)
 
 
 def messages() -> dict[str, float]:
-    """Return sizes in bytes and times in microseconds of the messages."""
+    """Return sizes in bytes and times in microseconds of messages."""
     order = RunOrder(
         id='r0123456789abcdef0123456789',
         incarnation='0123456789abcdef',
@@ -185,16 +189,16 @@
 
 
 def measure() -> dict[str, object]:
-    """Return every fit and message figure."""
-    rows, reads = accepting()
+    """Run all measurements and return the fits and message figures."""
+    rows, reads = job_table_calls()
     fits = [
-        picking(),
-        subsetting(),
+        replica_choice_time(),
+        subset_time(),
         replica_memory(),
         settings_memory(),
-        settings_load(),
-        settings_change(),
-        scanning(),
+        snapshot_load_time(),
+        change_time(),
+        scan_time(),
         rows,
         reads,
         ledger_memory(),
@@ -206,7 +210,7 @@
 
 
 def main() -> int:
-    """Measure, print, and keep the figures for the page."""
+    """Measure, print the figures and write them to ``OUT``."""
     found = measure()
     OUT.parent.mkdir(exist_ok=True)
     OUT.write_text(json.dumps(found, indent=1))
--- a/bench/capacity_figures.py
+++ b/bench/capacity_figures.py
@@ -1,4 +1,4 @@
-"""What slopes and sizes come to at the target."""
+"""Estimates of load at the target scale from slopes and sizes."""
 
 from typing import NamedTuple
 
@@ -30,7 +30,10 @@
 
 
 class Figure(NamedTuple):
-    """One line of the page: what, at the target, against which limit."""
+    """One table row: an estimate at the target scale and its limit.
+
+    A ``limit`` of 0 means that there is none.
+    """
 
     what: str
     found: float
@@ -39,7 +42,7 @@
     carrier: str
 
     def row(self) -> str:
-        """Return the line as a row of a table."""
+        """Return the Markdown table row."""
         share = f'{self.found / self.limit:.0%}' if self.limit else ''
         limit = f'{self.limit:,.0f}' if self.limit else ''
         cells = (self.what, f'{self.found:,.0f}', self.unit, limit, share)
@@ -49,7 +52,7 @@
 def entry_figures(
     fits: dict[str, Fit], sizes: dict[str, float]
 ) -> list[Figure]:
-    """Return the figures of one entry at the target."""
+    """Return the estimates for one entry at the target scale."""
     second = 1e6
     scan_us = fits['one scan of open spans'].at(open_spans() / SHARDS)
     change_us = fits['applying one change'].at(TEAMS)
@@ -60,7 +63,8 @@
         + sizes['report_us'] * (probes_s + SUBSET / REPORT_AGE_S)
         + 200 * (probes_s + 1 / SCAN_S + 1)
     )
-    # A sidecar that answers requests is not probed, and the other way.
+    # A sidecar that serves requests sends reports and is not probed, so only
+    # the larger of the two costs counts.
     control_bytes = (
         max(
             probes_s * (sizes['report_bytes'] + 2 * HTTP_BYTES),
@@ -133,7 +137,7 @@
     fits: dict[str, Fit],
     sizes: dict[str, float],
 ) -> list[Figure]:
-    """Return the figures of one sidecar at the target."""
+    """Return the estimates for one sidecar at the target scale."""
     known_by = ENTRIES * SUBSET / REPLICAS
     probes = known_by / PROBE_S
     reports = known_by / REPORT_AGE_S
@@ -170,13 +174,13 @@
 
 
 def open_spans() -> float:
-    """Return the spans open at once, at five minutes each."""
+    """Return the number of open spans, each open for five minutes."""
     by_items = ITEMS_DAY / SPAN_ITEMS
     return max(by_items, JOBS_DAY) / DAY_S * SPAN_OPEN_S
 
 
 def platform_figures() -> list[Figure]:
-    """Return the platform's reads and writes a second at the target."""
+    """Return the platform's reads and writes per second at the target."""
     chunks = ITEMS_DAY / CHUNK_ITEMS / DAY_S
     spans = max(ITEMS_DAY / SPAN_ITEMS, JOBS_DAY) / DAY_S
     return [
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/CAPACITY.md from the slopes of this run."""
+"""Measures all slopes and writes docs/CAPACITY.md."""
 
 import sys
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 def slopes_table(fits: list[Fit]) -> str:
-    """Return the measured slopes."""
+    """Return the measured slopes as a Markdown table."""
     rows = [
         f'| {fit.name} | {fit.unit} | {fit.base:,.0f} | {fit.slope:,.4f} |'
         f' {fit.fit:.3f} | {fit.sizes[0]:,} to {fit.sizes[-1]:,} |'
@@ -29,19 +29,19 @@
 
 
 def table(figures: list[Figure]) -> str:
-    """Return figures as a table, with the sum where limits are shared."""
+    """Return the estimates as a Markdown table."""
     head = '| what | at the target | unit | limit | share | carried by |'
     rows = [figure.row() for figure in figures]
     return '\n'.join((head, f'|{" --- |" * 6}', *rows))
 
 
 def summed(figures: list[Figure], kind: str) -> float:
-    """Return the sum of the figures that begin with ``kind``."""
+    """Return the sum of the figures whose name begins with ``kind``."""
     return sum(each.found for each in figures if each.what.startswith(kind))
 
 
 def main() -> int:
-    """Measure all and write the page."""
+    """Measure, then write and print the page."""
     found = capacity.measure()
     listed = [Fit(**raw) for raw in found['fits']] + cost.measure()
     fits = {fit.name: fit for fit in listed}
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the path, by open streams."""
+"""Processor time and memory of the request path, by open streams."""
 
 import sys
 import tempfile
@@ -15,44 +15,47 @@
 
 STREAMS = (10, 25, 50, 100)
 SPEED = {'step_s': 0.04, 'per_stream_s': 0, 'slots': 400}
-WARM_S = 1
+WARM_UP_S = 1
 WINDOW_S = 4
-TICKS = 100
+TICKS_PER_S = 100
 PAGE_BYTES = 4096
 TOKENS = 100_000
 
 
 class Usage:
-    """Processor seconds and resident bytes of one process."""
+    """Processor time in seconds and resident bytes of one process."""
 
     def __init__(self, pid: int) -> None:
-        """Read them now."""
+        """Read the current values from /proc."""
         stat = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
-        self.cpu_s = (int(stat[11]) + int(stat[12])) / TICKS
+        self.cpu_s = (int(stat[11]) + int(stat[12])) / TICKS_PER_S
         statm = Path(f'/proc/{pid}/statm').read_text().split()
         self.bytes = int(statm[1]) * PAGE_BYTES
 
 
 def run_streams(fleet: LocalFleet, count: int) -> dict[str, tuple[float, ...]]:
-    """Hold ``count`` streams; return tokens/s, processor share, bytes."""
+    """Keep ``count`` streams open for ``WINDOW_S`` seconds.
+
+    Returns tokens per second, processor share and resident bytes by process.
+    """
     caller = Caller([fleet.addresses['entry-0']])
     event = Event(0, tokens=TOKENS, prompt_tokens=10, deadline_s=600)
     streams = [gevent.spawn(caller.send, event, 0) for _ in range(count)]
-    gevent.sleep(WARM_S)
+    gevent.sleep(WARM_UP_S)
     names = ('entry-0', 'sidecar-0')
     before = {name: Usage(fleet.processes[name].process.pid) for name in names}
     made = _generated(fleet)
     began = time.monotonic()
     gevent.sleep(WINDOW_S)
-    spent_s = time.monotonic() - began
-    tokens = (_generated(fleet) - made) / spent_s
+    elapsed_s = time.monotonic() - began
+    tokens = (_generated(fleet) - made) / elapsed_s
     after = {name: Usage(fleet.processes[name].process.pid) for name in names}
     gevent.killall(streams)
-    gevent.sleep(WARM_S)
+    gevent.sleep(WARM_UP_S)
     return {
         name: (
             tokens,
-            (after[name].cpu_s - before[name].cpu_s) / spent_s,
+            (after[name].cpu_s - before[name].cpu_s) / elapsed_s,
             after[name].bytes,
         )
         for name in names
@@ -64,7 +67,7 @@
 
 
 def measure() -> list[Fit]:
-    """Return the fits of both roles."""
+    """Run a fleet at each stream count and return the fits of both roles."""
     plan = FleetPlan(entries=1, sidecars=1, slots=400, engine_speed=SPEED)
     with tempfile.TemporaryDirectory() as folder:
         fleet = LocalFleet(Path(folder), plan)
@@ -85,7 +88,7 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure and print the fits."""
     for fit in measure():
         sys.stdout.write(
             f'{fit.name:30} {fit.unit:6} {fit.base:12.0f} +'
--- a/bench/decisions/__init__.py
+++ b/bench/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What decisions are worth on the users' days, from their reports and logs."""
+"""Evaluation of decision variants from the reports and logs of played days."""
--- a/bench/decisions/__main__.py
+++ b/bench/decisions/__main__.py
@@ -1,8 +1,8 @@
-"""Prints where the worth of played days was lost.
+"""Prints the reasons for which played days lost worth.
 
     python -m bench.decisions SHEET DAY...
 
-DAY is the path of a report and a log, without ``.json`` and ``.log``.
+DAY is the common path of a report and a log, without ``.json`` or ``.log``.
 """
 
 import sys
@@ -14,7 +14,7 @@
 
 
 class Column(NamedTuple):
-    """A day of the table."""
+    """A column of the table, which is one day."""
 
     name: str
     day: Day
@@ -22,7 +22,7 @@
 
 
 def columns(sheet: Path, paths: list[str]) -> list[Column]:
-    """Return the days at ``paths``."""
+    """Return a column for the day at each of ``paths``."""
     kinds, slots = read_kinds(sheet), read_slots(sheet)
     found = []
     for path in paths:
@@ -33,7 +33,7 @@
 
 
 def table(days: list[Column]) -> list[str]:
-    """Return a row for each reason, with a cell for each day."""
+    """Return the table: a row for each reason, a cell for each day."""
     return [
         _row('reason', (each.name for each in days)),
         _row('---', ('---' for _ in days)),
--- a/bench/decisions/collect.py
+++ b/bench/decisions/collect.py
@@ -1,4 +1,4 @@
-"""Takes reports of plays into the committed data.
+"""Collects the reports of plays into a data file for the repository.
 
 python -m bench.decisions.collect SHEET FOLDER OUTPUT
 """
--- a/bench/decisions/day.py
+++ b/bench/decisions/day.py
@@ -1,7 +1,7 @@
-"""A played day, read from its report, its log and its sheet.
+"""Readers of a played day from its report, its log and its sheet.
 
-The names in the report and the sheet are those of the users' bench; they
-are turned into the types below here and nowhere else.
+The users' bench defines the field names of the report and the sheet. Only this
+module uses them; other modules use the types below.
 """
 
 import json
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-# A line of a process in a day's output: seconds, process, what it wrote.
+# A log line in the output of a day: seconds, process name, JSON object.
 LINE = re.compile(r'\s+(-?[0-9.]+) (\S+) (\{.*\})$')
 BATCH = 'batch'
 
 
 class Kind(NamedTuple):
-    """A kind of request on the sheet; times in seconds."""
+    """A kind of request on the sheet; ``aim_s`` is in seconds."""
 
     name: str
     batch: bool
@@ -26,9 +26,9 @@
 
 
 class KindOutcome(NamedTuple):
-    """What the requests of a kind got in a day.
+    """The results of all requests of a kind in a day.
 
-    ``earned`` is the share of the worth owed that was earned.
+    ``earned`` is the earned share of the worth owed.
     """
 
     kind: Kind
@@ -40,7 +40,7 @@
 
 
 class Line(NamedTuple):
-    """One line of a process's log; ``at_s`` from the start of traffic."""
+    """One log line; ``at_s`` is in seconds from the start of traffic."""
 
     at_s: float
     process: str
@@ -49,7 +49,7 @@
 
 
 class Window(NamedTuple):
-    """Two seconds of a day."""
+    """The results of two seconds of a day."""
 
     from_s: float
     asked: int
@@ -59,8 +59,8 @@
 class Day(NamedTuple):
     """A played day.
 
-    ``unserved`` counts requests by how their last try ended, ``prices``
-    the worth taken off by what it was taken for.
+    ``unserved`` counts unserved requests by the end of their last try.
+    ``prices`` maps each kind of price to the worth deducted for it.
     """
 
     worth: float
@@ -81,13 +81,13 @@
 
 
 def read_slots(sheet: Path) -> int:
-    """Return the most requests that a replica on the sheet works on."""
+    """Return the largest number of slots of a replica on the sheet."""
     raw = tomllib.loads(_without_head(sheet))
     return max(each['slots'] for each in raw['services'])
 
 
 def read_day(report: Path, kinds: dict[str, Kind]) -> Day:
-    """Return the day that a report is of."""
+    """Return the day that a report describes."""
     raw = json.loads(report.read_text())
     parts = {name: share for name, _, share in raw['parts']}
     spent = {name: amount for name, amount, _ in raw['prices']}
@@ -112,13 +112,13 @@
 
 
 def read_log(output: Path) -> list[Line]:
-    """Return the lines of all processes in a day's output."""
+    """Return the log lines of all processes in the output of a day."""
     found = (LINE.match(line) for line in output.read_text().splitlines())
     return [_line(match) for match in found if match]
 
 
 def _without_head(sheet: Path) -> str:
-    """Return a sheet from its first setting on."""
+    """Return the text of a sheet from its first setting on."""
     lines = sheet.read_text().splitlines()
     first = next(at for at, line in enumerate(lines) if ' = ' in line)
     return '\n'.join(lines[first:])
--- a/bench/decisions/losses.py
+++ b/bench/decisions/losses.py
@@ -1,8 +1,9 @@
-"""Where the worth of a day was lost: each loss under one reason.
+"""Splits the worth that a day lost by reason.
 
-The reasons are a closed list and add up to the whole. Two are estimates
-by the log and say so: late online requests are told apart by what this
-fleet saw of them, late batch items by when their results were there.
+The reasons are a closed list, and their losses add up to the whole loss. The
+split of late requests is an estimate from the fleet's own logs: late online
+requests are classified by how they were placed, and late batch items by the
+time at which their results were listed.
 """
 
 import enum
@@ -11,15 +12,15 @@
 
 from bench.decisions.day import Day, KindOutcome, Line
 
-# A result is on time this many seconds after its job was taken.
+# Seconds after the acceptance of its job up to which a result is on time.
 RESULT_DUE_S = 18.0
-# First bytes later than this are late for every kind on the sheets, less
-# the way to the caller.
+# Seconds to the first byte above which a response is late, for every kind of
+# request on the sheets. The limit leaves time for the network to the caller.
 ON_TIME_S = 0.29
 
 
 class Reason(enum.Enum):
-    """Why worth was lost."""
+    """The reason for which worth was lost."""
 
     cut = 'the entry or replica was lost under it'
     nobody = 'no entry could be reached'
@@ -35,7 +36,7 @@
     sizes = 'unexplained: sizes, half credits'
 
 
-# How a last try ended, by what the report calls it.
+# The reason for each end of a last try, by its name in the report.
 LAST_TRIES = {
     'deadline': Reason.cut,
     'cut in the answer': Reason.cut,
@@ -47,9 +48,9 @@
 
 
 def losses(day: Day, log: list[Line], slots: int) -> dict[Reason, float]:
-    """Return the share of the worth owed that each reason cost.
+    """Return the share of the worth owed that was lost for each reason.
 
-    ``slots`` is how many requests a replica works on at once.
+    ``slots`` is the number of requests that a replica runs concurrently.
     """
     late = {
         True: _with_unseen(
@@ -65,18 +66,18 @@
     }
     found: Counter[Reason] = Counter()
     for outcome in day.outcomes:
-        found.update(_of_kind(outcome, day, late[outcome.kind.batch]))
+        found.update(_kind_losses(outcome, day, late[outcome.kind.batch]))
     owed = sum(each.owed * each.kind.worth for each in day.outcomes)
     shares = {reason: lost / owed for reason, lost in found.items()}
     return {**shares, Reason.prices: sum(day.prices.values())}
 
 
-def _of_kind(
+def _kind_losses(
     outcome: KindOutcome,
     day: Day,
     late: Counter[Reason],
 ) -> dict[Reason, float]:
-    """Return the worth that a kind of request lost, by reason."""
+    """Return the worth lost on a kind of request, by reason."""
     kind = outcome.kind
     found: Counter[Reason] = Counter()
     unserved = outcome.refused + outcome.failed
@@ -89,7 +90,7 @@
 
 
 def _split(lost: float, counts: Counter[Reason]) -> dict[Reason, float]:
-    """Return a loss split by counts, unexplained if there are none."""
+    """Split a loss by counts; without any count it is unexplained."""
     total = sum(counts.values())
     if not total:
         return {Reason.sizes: lost}
@@ -104,7 +105,7 @@
 
 
 def _late(day: Day, batch: bool) -> int:
-    """Return how many requests the report counts as late."""
+    """Return the number of requests that the report counts as late."""
     return sum(
         outcome.late for outcome in day.outcomes if outcome.kind.batch == batch
     )
@@ -113,20 +114,20 @@
 def _with_unseen(
     seen: Counter[Reason],
     total: int,
-    unseen: Reason,
+    default: Reason,
 ) -> Counter[Reason]:
-    """Return the counts with those that the log does not show as late."""
-    return seen + Counter({unseen: total - sum(seen.values())})
+    """Add the late requests that the log does not show as late."""
+    return seen + Counter({default: total - sum(seen.values())})
 
 
 def _online_late(log: list[Line], slots: int) -> Counter[Reason]:
-    """Count requests that were answered late, by what the log shows."""
+    """Count late responses in the log, by reason."""
     placed: dict[str, list[Line]] = {}
-    for line in _of(log, 'request_placed'):
+    for line in _events_named(log, 'request_placed'):
         placed.setdefault(line.fields['request'], []).append(line)
     return Counter(
         _late_reason(placed.get(line.fields['request'], []), slots)
-        for line in _of(log, 'request_answered')
+        for line in _events_named(log, 'request_answered')
         if line.fields['first_byte_s'] > ON_TIME_S
     )
 
@@ -139,15 +140,18 @@
 
 
 def _batch_late(log: list[Line]) -> Counter[Reason]:
-    """Count items whose results came late after the taking."""
-    taken = {line.fields['job']: line.at_s for line in _of(log, 'job_accepted')}
+    """Count items whose results were late after their job was accepted."""
+    taken = {
+        line.fields['job']: line.at_s
+        for line in _events_named(log, 'job_accepted')
+    }
     late = (
         len(line.fields['items'])
-        for line in _of(log, 'results_listed')
+        for line in _events_named(log, 'results_listed')
         if line.at_s - taken.get(line.fields['job'], line.at_s) > RESULT_DUE_S
     )
     return Counter({Reason.done_late: sum(late)})
 
 
-def _of(log: Iterable[Line], event: str) -> Iterable[Line]:
+def _events_named(log: Iterable[Line], event: str) -> Iterable[Line]:
     return (line for line in log if line.event == event)
--- a/bench/decisions/page.py
+++ b/bench/decisions/page.py
@@ -1,4 +1,4 @@
-"""Writes docs/decisions/ from the committed plays: tables and plots.
+"""Writes the tables and plots in docs/decisions/ from the stored plays.
 
 python -m bench.decisions.page
 """
@@ -27,13 +27,13 @@
 
 
 class Comparison(NamedTuple):
-    """Two variants of the code, as docs/DECISIONS.md names them."""
+    """Two variants of the code, with their names in docs/DECISIONS.md."""
 
     before: str
     after: str
 
     def __str__(self) -> str:
-        """Return both names."""
+        """Return the names of both variants."""
         return f'{self.before} → {self.after}'
 
 
@@ -47,7 +47,7 @@
 
 
 def rows(plays: list[Play], compared: Iterable[Comparison]) -> list[str]:
-    """Return a row for each comparison, a cell for each measure."""
+    """Return the table: a row for each comparison, a cell for each measure."""
     lines = [_row(HEAD), _row('---' for _ in HEAD)]
     for each in compared:
         cells = [
@@ -60,7 +60,7 @@
 
 
 def plot(plays: list[Play], day: str, seed: int, path: Path) -> None:
-    """Draw the worth earned by second of one day, by variant."""
+    """Plot the share of worth earned over one day for each variant."""
     figure, axes = plt.subplots(figsize=(8, 3))
     for play in plays:
         if (play.day, play.seed) == (day, seed):
@@ -74,7 +74,7 @@
 
 
 def main() -> int:
-    """Write the tables and the plot."""
+    """Write the page with its tables and its plot."""
     plays = read_plays(PLAYS / 'nilepulse-race.jsonl')
     shown = [play for play in plays if play.variant in SHOWN]
     weakest = min(shown, key=attrgetter('worth'))
--- a/bench/decisions/paired.py
+++ b/bench/decisions/paired.py
@@ -1,4 +1,4 @@
-"""Differences between two variants, paired by day and seed."""
+"""Differences between two variants in pairs of the same day and seed."""
 
 import math
 import statistics
@@ -7,20 +7,20 @@
 
 from bench.decisions.plays import Play
 
-# Two-sided 95% points of Student's t by degrees of freedom; from 30 on
-# that of the normal distribution is near enough.
+# Two-sided 95% quantiles of Student's t distribution for 1 to 30 degrees of
+# freedom. Above 30, the quantile of the normal distribution is close enough.
 T_95 = (
     *(12.71, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23),
     *(2.2, 2.18, 2.16, 2.14, 2.13, 2.12, 2.11, 2.1, 2.09, 2.09),
     *(2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05, 2.05, 2.04),
 )
-T_MANY = 1.96
+T_NORMAL = 1.96
 
 Measure = Callable[[Play], float]
 
 
 class Difference(NamedTuple):
-    """The mean of the paired differences and half of its interval."""
+    """The mean of paired differences; ``half`` is half its 95% interval."""
 
     pairs: int
     before: float
@@ -29,7 +29,7 @@
 
     @property
     def clear(self) -> bool:
-        """Whether the interval leaves out zero."""
+        """Whether the interval excludes zero."""
         return abs(self.mean) > self.half
 
 
@@ -39,9 +39,9 @@
     after: str,
     measure: Measure,
 ) -> Difference:
-    """Return how ``after`` differs from ``before`` in a measure.
+    """Return the difference of ``after`` from ``before`` in a measure.
 
-    Raises ValueError for fewer than two pairs.
+    Raises ValueError if there are fewer than two pairs.
     """
     found = {
         (play.variant, play.day, play.seed): measure(play) for play in plays
@@ -63,5 +63,5 @@
     )
 
 
-def _t(freedom: int) -> float:
-    return T_95[freedom - 1] if freedom <= len(T_95) else T_MANY
+def _t(degrees: int) -> float:
+    return T_95[degrees - 1] if degrees <= len(T_95) else T_NORMAL
--- a/bench/decisions/plays.py
+++ b/bench/decisions/plays.py
@@ -1,4 +1,4 @@
-"""Plays of days by several variants of the code, as they are committed."""
+"""Plays of days by variants of the code, and their data files."""
 
 import json
 from collections.abc import Iterable
@@ -9,7 +9,11 @@
 
 
 class Play(NamedTuple):
-    """One day played once; ``windows`` are the shares earned, 2 s each."""
+    """One day played once.
+
+    ``windows`` has the start in seconds, the number of requests and the share
+    of worth earned for every 2 s.
+    """
 
     variant: str
     day: str
@@ -26,7 +30,7 @@
 
 
 def collect(folder: Path, kinds: dict[str, Kind]) -> list[Play]:
-    """Return the plays in ``folder``, of files VARIANT,DAY,SEED.json."""
+    """Return the plays in ``folder`` from files VARIANT,DAY,SEED.json."""
     found = []
     for report in sorted(folder.glob('*.json')):
         variant, name, seed = report.stem.split(',')
@@ -36,13 +40,13 @@
 
 
 def save(plays: Iterable[Play], path: Path) -> None:
-    """Write plays, one a line."""
+    """Write the plays as JSON lines."""
     lines = (json.dumps(play._asdict()) for play in plays)
     path.write_text(''.join(f'{line}\n' for line in lines))
 
 
 def read_plays(path: Path) -> list[Play]:
-    """Return the plays in a file."""
+    """Return the plays in a file of JSON lines."""
     lines = path.read_text().splitlines()
     return [Play(**json.loads(line)) for line in lines]
 
--- a/bench/made_state.py
+++ b/bench/made_state.py
@@ -1,4 +1,4 @@
-"""State of the two roles at any size, for measuring."""
+"""Synthetic state of entries and sidecars at a given size."""
 
 from cactusridge.batch.job_store import Submission
 from cactusridge.batch.manifest import Manifest, Segment
@@ -33,7 +33,7 @@
 
 
 def report_of(number: int) -> SidecarReport:
-    """Return a sidecar's report."""
+    """Return the report of a sidecar with a given number."""
     return SidecarReport(
         incarnation=f'{number:016x}',
         draining=False,
@@ -43,7 +43,7 @@
 
 
 def hosts_of(size: int) -> list[SidecarHost]:
-    """Return that many sidecars that have reported once."""
+    """Return ``size`` sidecars, each with one report received."""
     made = []
     for number in range(size):
         address = Address(f'10.0.{number // 250}.{number % 250}', 80)
@@ -55,7 +55,10 @@
 
 
 def nodes_of(teams: int) -> list[tuple[str, object, int]]:
-    """Return the settings of that many teams: four nodes each."""
+    """Return settings nodes of teams.
+
+    Each team has three nodes; the first 100 teams also have a service.
+    """
     made: list[tuple[str, object, int]] = []
     for number in range(teams):
         team = f'/teams/t{number}'
@@ -79,7 +82,7 @@
 
 
 def tree_of(teams: int) -> tuple[object, ...]:
-    """Return the settings of that many teams with their indexes."""
+    """Return the settings tree of teams and its two indexes."""
     tree = SettingsTree()
     access = AccessTable(tree, key_digest('admin'))
     catalog = ServiceCatalog(tree)
@@ -88,7 +91,7 @@
 
 
 def span_of(number: int) -> Span:
-    """Return an open span of 1,024 items."""
+    """Return an open span of 1,024 items with half of its chunks done."""
     return Span(
         job=f'batch_{number:032}',
         team=f't{number % 50}',
@@ -110,7 +113,7 @@
 
 
 def submission_of(items: int) -> Submission:
-    """Return a job of that many items."""
+    """Return the submission of a job with the given number of items."""
     segments = tuple(
         Segment(f's{number}', 1024, tuple(range(17)))
         for number in range(-(-items // 1024))
@@ -133,7 +136,7 @@
 
 
 def ledger_of(size: int) -> RunLedger:
-    """Return a ledger that remembers that many orders."""
+    """Return a ledger that has recorded ``size`` orders."""
     cfg = SidecarSettings.made_of(
         listen='127.0.0.1:1',
         zone='a',
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -1,4 +1,4 @@
-"""What came of a replay."""
+"""The results of a replay."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,11 @@
 
 
 class Answer(NamedTuple):
-    """One online request: times in seconds, and how it ended."""
+    """The result of one online request.
+
+    Times are in seconds: ``at`` from the start of the trace, ``first_s`` to
+    the first token and ``gaps_s`` between tokens.
+    """
 
     at: float
     first_s: float
@@ -17,7 +21,7 @@
 
 
 class Outcome(NamedTuple):
-    """One run of a trace under one policy."""
+    """The result of one replay of a trace under one policy."""
 
     trace: str
     policy: str
@@ -32,29 +36,29 @@
     batch_curve: tuple[tuple[float, int], ...]
 
     def first_ms(self, percentile: float) -> float:
-        """Return a percentile of the time to the first token."""
+        """Return a percentile of the time to the first token, in ms."""
         return _percentile([each.first_s for each in self._whole()], percentile)
 
     def gap_ms(self, percentile: float) -> float:
-        """Return a percentile of the time between tokens."""
+        """Return a percentile of the time between tokens, in ms."""
         gaps = [gap for answer in self._whole() for gap in answer.gaps_s]
         return _percentile(gaps, percentile)
 
     def failed(self) -> int:
-        """Return the requests that got no whole answer."""
+        """Return the number of requests without a complete response."""
         return len(self.answers) - len(self._whole())
 
     def batch_per_s(self) -> float:
-        """Return the batch tokens committed a second."""
+        """Return the committed batch tokens per second."""
         return self.batch_tokens / self.seconds
 
     def batch_made_per_s(self) -> float:
-        """Return the tokens generated a second that were not online's."""
+        """Return the tokens per second not delivered to online requests."""
         online = sum(len(each.gaps_s) + 1 for each in self._whole())
         return max(0, self.generated - online) / self.seconds
 
     def generated_per_s(self) -> float:
-        """Return all tokens generated a second."""
+        """Return all generated tokens per second."""
         return self.generated / self.seconds
 
     def _whole(self) -> list[Answer]:
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,4 +1,4 @@
-"""Replays one trace through real processes under one policy."""
+"""Replays a trace through real processes under a policy."""
 
 import tempfile
 import time
@@ -17,13 +17,13 @@
 
 TOKEN = MappingProxyType({'Authorization': 'Bearer demo'})
 SAMPLE_S = 0.5
-SLOW = MappingProxyType({'step_s': 0.03})
+SLOW_SPEED = MappingProxyType({'step_s': 0.03})
 GRACE_S = 3
-FOREVER = 1_000_000
+UNLIMITED_CALLS = 1_000_000
 
 
 class Policy(NamedTuple):
-    """A name, and what differs in the start settings."""
+    """A named set of start settings and of event kinds to replay."""
 
     name: str
     entry: dict[str, Any]
@@ -47,10 +47,10 @@
 
 
 class Replay:
-    """One run: starts a fleet, plays the events, reads the outcome."""
+    """Starts a fleet, replays a trace and collects the outcome."""
 
     def __init__(self, trace: Trace, policy: Policy) -> None:
-        """Play ``trace`` under ``policy``."""
+        """Create a replay of ``trace`` under ``policy``."""
         self.trace = trace
         self.policy = policy
         self._answers: list[Answer] = []
@@ -58,7 +58,7 @@
         self._curve: list[tuple[float, int]] = []
 
     def run(self) -> Outcome:
-        """Return what came of it."""
+        """Run the replay and return its outcome."""
         with tempfile.TemporaryDirectory() as folder:
             fleet = LocalFleet(Path(folder), self._plan())
             try:
@@ -68,7 +68,7 @@
                 fleet.kill_all()
 
     def _plan(self) -> FleetPlan:
-        slow = {1: dict(SLOW)} if self.trace.slow_replica else {}
+        slow = {1: dict(SLOW_SPEED)} if self.trace.slow_replica else {}
         return FleetPlan(
             sidecars=self.trace.replicas,
             entry_extra={
@@ -86,7 +86,9 @@
         began = time.monotonic()
         sampler = gevent.spawn(self._sample, fleet, began)
         played = [
-            gevent.spawn_later(event.at, self._event, fleet, caller, event)
+            gevent.spawn_later(
+                event.at, self._handle_event, fleet, caller, event
+            )
             for event in self.trace.events
             if self._wanted(event)
         ]
@@ -97,7 +99,7 @@
         tokens = self._batch_tokens(fleet)
         sampler.kill()
         gevent.joinall(played, timeout=GRACE_S + 10)
-        met, missed = self._due(fleet)
+        met, missed = self._count_due(fleet)
         return Outcome(
             trace=self.trace.name,
             policy=self.policy.name,
@@ -117,18 +119,20 @@
             return self.policy.batch
         return event.kind != 'online' or self.policy.online
 
-    def _event(self, fleet: LocalFleet, caller: Caller, event: Event) -> None:
+    def _handle_event(
+        self, fleet: LocalFleet, caller: Caller, event: Event
+    ) -> None:
         if event.kind == 'online':
             self._answers.append(caller.send(event, self._began))
             return
-        happen = {
+        handlers = {
             'job': self._submit,
-            'lose': _lose,
-            'return': _return,
-            'cut': _cut,
-            'mend': _mend,
+            'lose': _kill_replica,
+            'return': _restart_replica,
+            'cut': _add_cut_fault,
+            'mend': _clear_faults,
         }
-        happen[event.kind](fleet, event)
+        handlers[event.kind](fleet, event)
 
     def _submit(self, fleet: LocalFleet, event: Event) -> None:
         texts = [f'{event.at} {number}' for number in range(event.items)]
@@ -158,7 +162,7 @@
         return {'generated': total}
 
     def _redone(self, fleet: LocalFleet) -> float:
-        """Return the share of executions that began a prompt anew."""
+        """Return the share of executions that repeat a prompt."""
         begun = 0
         prompts = set()
         for name in fleet.named('engine'):
@@ -172,29 +176,29 @@
     def _batch_tokens(self, fleet: LocalFleet) -> int:
         total = 0
         for event, job, _ in self._jobs:
-            counts = self._shown(fleet, job)['request_counts']
+            counts = self._get_job(fleet, job)['request_counts']
             total += event.tokens * counts['completed']
         return total
 
-    def _shown(self, fleet: LocalFleet, job: str) -> Any:
+    def _get_job(self, fleet: LocalFleet, job: str) -> Any:
         path = f'/v1/batches/{job}'
         return fleet.call('entry-0', path, None, TOKEN, 'GET')[1]
 
-    def _due(self, fleet: LocalFleet) -> tuple[int, int]:
+    def _count_due(self, fleet: LocalFleet) -> tuple[int, int]:
         met = 0
         missed = 0
         for event, job, accepted in self._jobs:
             if not event.due_s:
                 continue
-            shown = self._shown(fleet, job)
-            finished = shown['completed_at']
+            details = self._get_job(fleet, job)
+            finished = details['completed_at']
             in_time = finished and finished <= accepted + event.due_s
             met += int(bool(in_time))
             missed += int(not in_time)
         return met, missed
 
     def _attempts(self, fleet: LocalFleet) -> float:
-        """Return dispatches a request that was no batch item."""
+        """Return the mean number of dispatches per online request."""
         attempts = float(0)
         retries = float(0)
         for name in fleet.named('entry'):
@@ -210,22 +214,22 @@
         return 1 + retries / max(1, attempts)
 
 
-def _lose(fleet: LocalFleet, event: Event) -> None:
+def _kill_replica(fleet: LocalFleet, event: Event) -> None:
     for name in (f'sidecar-{event.target}', f'engine-{event.target}'):
         fleet.processes[name].kill()
 
 
-def _return(fleet: LocalFleet, event: Event) -> None:
+def _restart_replica(fleet: LocalFleet, event: Event) -> None:
     fleet.start_engine(event.target)
     fleet.start_sidecar(event.target)
 
 
-def _cut(fleet: LocalFleet, event: Event) -> None:
-    fault = {'kind': 'cut', 'match': '', 'count': FOREVER}
+def _add_cut_fault(fleet: LocalFleet, event: Event) -> None:
+    fault = {'kind': 'cut', 'match': '', 'count': UNLIMITED_CALLS}
     fleet.call(f'engine-{event.target}', '/control/faults', fault)
 
 
-def _mend(fleet: LocalFleet, event: Event) -> None:
+def _clear_faults(fleet: LocalFleet, event: Event) -> None:
     name = f'engine-{event.target}'
     fleet.call(name, '/control/faults', method='DELETE')
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes over sizes: one thing varied at a time, fitted by least squares."""
+"""Measurements over sizes and their fit to a line by least squares."""
 
 import gc
 import time
@@ -12,7 +12,7 @@
 
 
 class Fit(NamedTuple):
-    """A straight line through measurements, and how well it fits."""
+    """A line fitted to measurements; ``fit`` is the R² of the fit."""
 
     name: str
     unit: str
@@ -23,7 +23,7 @@
     found: tuple[float, ...]
 
     def at(self, size: float) -> float:
-        """Return the line's value at ``size``."""
+        """Return the value of the line at ``size``."""
         return self.base + self.slope * size
 
 
@@ -33,7 +33,7 @@
     sizes: Sequence[int],
     found: Sequence[float],
 ) -> Fit:
-    """Fit a line; ``fit`` is the share of variance it explains."""
+    """Fit a line by least squares."""
     slope, base = np.polyfit(sizes, found, 1)
     rest = np.array(found) - (slope * np.array(sizes) + base)
     spread = np.var(found)
@@ -50,7 +50,7 @@
 
 
 def cpu_us(action: Callable[[], object], repeats: int) -> float:
-    """Return the processor time of one call, in microseconds."""
+    """Return the mean processor time of one call, in microseconds."""
     began = time.process_time()
     for _ in range(repeats):
         action()
@@ -58,7 +58,7 @@
 
 
 def memory_bytes(make: Callable[[], object]) -> int:
-    """Return the bytes that what ``make`` returns holds."""
+    """Return the memory in bytes of the object that ``make`` returns."""
     gc.collect()
     tracemalloc.start()
     kept = make()
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,4 +1,4 @@
-"""What the loss of an entry costs, by the number of open jobs."""
+"""Measures the takeover of a lost entry's spans, by open jobs."""
 
 import tempfile
 import time
@@ -45,15 +45,15 @@
 """
 
 
-class Counted(NamedTuple):
-    """Calls of the platform so far."""
+class CallCounts(NamedTuple):
+    """Numbers of platform calls so far."""
 
     reads: int
     writes: int
 
 
-class TakeOver(NamedTuple):
-    """How the spans of a lost entry came into other hands."""
+class Takeover(NamedTuple):
+    """The takeover of the spans of a lost entry; times in seconds."""
 
     jobs: int
     lost: int
@@ -63,7 +63,7 @@
     writes: int
 
     def row(self) -> str:
-        """Return a line of the table."""
+        """Return the Markdown table row."""
         cells = (
             self.jobs,
             self.lost,
@@ -77,26 +77,26 @@
 
 
 def takeover_section() -> str:
-    """Measure at every size; return the section of the page."""
+    """Measure at every size and return the section of the page."""
     rows = [measure(jobs).row() for jobs in SIZES]
     return TEXT.format(items=ITEMS, lease=LEASE_S, rows='\n'.join(rows))
 
 
-def measure(jobs: int) -> TakeOver:
-    """Lose an entry before ``jobs`` open jobs."""
+def measure(jobs: int) -> Takeover:
+    """Measure the takeover after an entry is killed with open jobs."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = LocalFleet(Path(folder), PLAN)
         try:
             fleet.start()
-            return _lose_entry(fleet, jobs)
+            return _kill_entry(fleet, jobs)
         finally:
             fleet.kill_all()
 
 
-def _lose_entry(fleet: LocalFleet, jobs: int) -> TakeOver:
+def _kill_entry(fleet: LocalFleet, jobs: int) -> Takeover:
     url = f'{fleet.url("entry-1")}/v1'
     api = OpenAI(api_key='demo', base_url=url)
-    gone = str(fleet.addresses['entry-0'])
+    lost_entry = str(fleet.addresses['entry-0'])
 
     def submit(number: int) -> str:  # noqa: WPS430
         texts = [f'{jobs} {number} {item}' for item in range(ITEMS)]
@@ -104,19 +104,19 @@
 
     Pool(SUBMITTERS).map(submit, range(jobs - 1))
     submit(jobs)
-    wait_for('held spans', lambda: _held(fleet, gone))
+    wait_for('held spans', lambda: _count_spans(fleet, lost_entry))
     killed_at = time.time()
     fleet.processes['entry-0'].kill()
-    before = _count(fleet)
-    while _held(fleet, gone) and time.time() - killed_at < WAIT_S:
+    before = _count_calls(fleet)
+    while _count_spans(fleet, lost_entry) and time.time() - killed_at < WAIT_S:
         gevent.sleep(SAMPLE_S)
-    after = _count(fleet)
-    taken = _taken(_history(fleet), gone, killed_at)
-    return TakeOver(
+    after = _count_calls(fleet)
+    times_s = _takeover_times(_history(fleet), lost_entry, killed_at)
+    return Takeover(
         jobs,
-        len(taken),
-        min(taken, default=0),
-        max(taken, default=0),
+        len(times_s),
+        min(times_s, default=0),
+        max(times_s, default=0),
         after.reads - before.reads,
         after.writes - before.writes,
     )
@@ -127,39 +127,39 @@
     return fleet.call('platform', path, method='GET')[1]['history']
 
 
-def _held(fleet: LocalFleet, holder: str) -> int:
-    """Return how many spans ``holder`` holds by the table."""
+def _count_spans(fleet: LocalFleet, holder: str) -> int:
+    """Return the number of spans that ``holder`` holds in the table."""
     path = f'/control/held/{holder}'
     return fleet.call('platform', path, method='GET')[1]['held']
 
 
-def _count(fleet: LocalFleet) -> Counted:
+def _count_calls(fleet: LocalFleet) -> CallCounts:
     found = fleet.call('platform', '/control/counts', method='GET')[1]
     reads = sum(found.get(kind, 0) for kind in ('read', 'scan', 'get'))
     writes = sum(found.get(kind, 0) for kind in ('transact', 'put'))
-    return Counted(reads, writes)
+    return CallCounts(reads, writes)
 
 
-def _taken(
+def _takeover_times(
     history: list[dict[str, Any]],
-    gone: str,
+    lost_entry: str,
     killed_at: float,
 ) -> list[float]:
-    """Return, for each span lost, the seconds until it was written again."""
+    """Return the seconds until each lost span was written again."""
     holders: dict[str, str] = {}
-    taken = []
+    times_s = []
     for at, key, stored in _span_writes(history):
-        lost = holders.get(key, '').startswith(gone)
+        lost = holders.get(key, '').startswith(lost_entry)
         if lost and at > killed_at:
-            taken.append(at - killed_at)
+            times_s.append(at - killed_at)
         holders[key] = stored['holder'] if stored else ''
-    return taken
+    return times_s
 
 
 def _span_writes(
     history: list[dict[str, Any]],
 ) -> Iterator[tuple[float, str, Any]]:
-    """Yield when, where and what was written of spans."""
+    """Yield time, key and value of each write of a span row."""
     for commit in history:
         for key, stored in commit['writes']:
             if key.startswith('spans/'):
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -1,4 +1,4 @@
-"""The trace format and its files: JSON lines, one event each."""
+"""The trace format and its files of JSON lines, one event per line."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class Event(NamedTuple):
-    """One thing that happens ``at`` seconds after the start.
+    """An event ``at`` seconds after the start of the trace.
 
-    ``kind`` is ``online`` (a streamed request), ``job`` (a batch of
-    ``items``) or the name of a fault, for which ``target`` says where.
+    ``kind`` is ``online`` (a streamed request), ``job`` (a batch job of
+    ``items``) or the name of a fault at the replica number ``target``.
     """
 
     at: float
@@ -26,7 +26,7 @@
 
 
 class Trace(NamedTuple):
-    """A named trace: its length, its events, what the fleet is like."""
+    """A named trace: its length, its events and the fleet it needs."""
 
     name: str
     seconds: float
@@ -37,7 +37,7 @@
 
 
 def save_trace(trace: Trace, folder: Path) -> Path:
-    """Write a trace's events as JSON lines."""
+    """Write the events as JSON lines and return the path."""
     path = folder / f'{trace.name}.jsonl'
     lines = [wire.encode(event._asdict()) for event in trace.events]
     path.write_bytes(b'\n'.join(lines))
@@ -45,7 +45,7 @@
 
 
 def load_trace(path: Path, trace: Trace) -> Trace:
-    """Return ``trace`` with the events in ``path``."""
+    """Return a copy of ``trace`` with the events in ``path``."""
     lines = path.read_bytes().splitlines()
     events = tuple(Event(**wire.decode(line)) for line in lines)
     return trace._replace(events=events)
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Makes the traces from a seed."""
+"""Generates the traces from a seed."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -19,7 +19,10 @@
     seconds: float,
     groups: int = GROUPS,
 ) -> Iterable[Event]:
-    """Yield online requests at ``rate(time)`` a second."""
+    """Yield online requests with Poisson arrivals.
+
+    ``rate`` returns the requests per second at a time in seconds.
+    """
     at = float(0)
     while True:
         at += rng.expovariate(max(0.01, rate(at)))
@@ -34,12 +37,12 @@
 
 
 def steady(per_s: float) -> Callable[[float], float]:
-    """Return a constant rate."""
+    """Return a constant rate function."""
     return lambda _: per_s
 
 
 def burst(per_s: float, factor: float) -> Callable[[float], float]:
-    """Return a rate that is ``factor`` times higher during the flood."""
+    """Return a rate function ``factor`` times higher during ``FLOOD``."""
 
     def rate(at: float) -> float:  # noqa: WPS430
         flooded = FLOOD[0] <= at < FLOOD[1]
@@ -49,12 +52,12 @@
 
 
 def big_job(at: float = 0, items: int = BATCH_ITEMS, due_s: int = 0) -> Event:
-    """Return a job large enough to fill the trace."""
+    """Return a batch job, by default large enough to fill the trace."""
     return Event(at, 'job', tokens=BATCH_TOKENS, items=items, due_s=due_s)
 
 
 def make_traces() -> list[Trace]:
-    """Return every trace."""
+    """Return all traces."""
     rng = random.Random(SEED)
     return [
         _trace('evening', arrivals(rng, steady(20), LENGTH_S), 9),
@@ -79,7 +82,7 @@
 
 
 def _cutoff(rng: random.Random) -> Trace:
-    """Two jobs due before the cutoff, behind one that has all day."""
+    """Two jobs with an early due time, submitted after one without."""
     online = arrivals(rng, steady(8), LENGTH_S)
     jobs = (
         big_job(0, BATCH_ITEMS),
@@ -90,7 +93,7 @@
 
 
 def _zone_lost(rng: random.Random) -> Trace:
-    """A sidecar and its engine vanish at the peak and come back."""
+    """A sidecar and its engine are killed under load and restarted."""
     online = arrivals(rng, steady(24), LENGTH_S)
     faults = (
         Event(4, 'lose', target=0),
@@ -100,7 +103,7 @@
 
 
 def _retry_storm(rng: random.Random) -> Trace:
-    """All engines cut every connection for two seconds."""
+    """All engines close every connection for two seconds."""
     online = arrivals(rng, steady(30), LENGTH_S)
     faults = (
         Event(at, kind, target=number)
--- a/bench/traces_report.py
+++ b/bench/traces_report.py
@@ -1,4 +1,4 @@
-"""Runs the traces and writes docs/MEASUREMENTS.md and its plots."""
+"""Replays the traces and writes docs/MEASUREMENTS.md and its plots."""
 
 import sys
 from pathlib import Path
@@ -58,7 +58,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the traces in ``names`` (all when empty); write the page."""
+    """Replay the traces in ``names``, or all if empty; write the page."""
     TRACES.mkdir(exist_ok=True)
     sections = []
     for trace in make_traces():
@@ -79,7 +79,7 @@
 
 
 def section(outcomes: list[Outcome]) -> str:
-    """Return the table of one trace and its ratios."""
+    """Return the section of one trace with its table and ratios."""
     ours, naive, no_batch, no_online = outcomes
     name = ours.trace
     lines = [
@@ -99,7 +99,7 @@
 
 
 def row(outcome: Outcome) -> list[str]:
-    """Return the cells of one run."""
+    """Return the table cells of one replay."""
     due = outcome.due_met + outcome.due_missed
     return [
         outcome.policy,
@@ -116,12 +116,12 @@
 
 
 def ratio(part: float, whole: float) -> float:
-    """Return ``part`` over ``whole``, 0 when there is no whole."""
+    """Return ``part`` divided by ``whole``, or 0 if ``whole`` is 0."""
     return part / whole if whole else 0
 
 
 def plot(outcomes: list[Outcome]) -> None:
-    """Draw first-token times and tokens a second over time."""
+    """Plot first-token times and tokens per second over time."""
     figure, (top, bottom) = plt.subplots(2, 1, sharex=True, figsize=(8, 5))
     for outcome in outcomes:
         whole = [each for each in outcome.answers if each.outcome == 'whole']
--- a/bench/unreadable_rows.py
+++ b/bench/unreadable_rows.py
@@ -1,8 +1,8 @@
-"""Time and memory of reading a list of rows with some unreadable.
+"""Time and memory of reading rows when some of them are unreadable.
 
-``python -m bench.unreadable_rows`` says medians over REPEATS readings of
-ROWS rows, every SPOILT_EVERY-th of which is not base64, and the peak of what
-Python allocates during one, without the answers themselves.
+``python -m bench.unreadable_rows`` prints the median time over REPEATS reads of
+ROWS rows, in which every UNREADABLE_EVERY-th value is not base64, and the peak
+of memory that Python allocates during one read, without the responses.
 """
 
 import statistics
@@ -22,10 +22,10 @@
 from tests.scripted_link import ScriptedLink, packed, page, rows_over
 
 ROWS = 12_000
-SPOILT_EVERY = 100
+UNREADABLE_EVERY = 100
 REPEATS = 9
-US = 1_000_000
-MS = 1_000
+US_PER_S = 1_000_000
+MS_PER_S = 1_000
 MIB = 1 << 20
 HEAD = {
     'host': 'api.example',
@@ -40,7 +40,7 @@
 
 
 class StrictEntry(BaseModel):
-    """An entry as a strict model, for comparison with checks by hand."""
+    """A row as a strict pydantic model, to compare with hand-written checks."""
 
     model_config = ConfigDict(strict=True)
 
@@ -53,7 +53,7 @@
 
 
 def by_model(raw: Any) -> Row:
-    """Return a row, its entry checked by the model."""
+    """Return a row that is validated by the model."""
     try:
         entry = StrictEntry.model_validate(raw)
     except ValidationError:
@@ -64,31 +64,31 @@
 
 
 def entries() -> list[dict[str, Any]]:
-    """Return the rows of a table as the store shows them."""
+    """Return the rows of a table as the store returns them."""
     return [
         {
             'table': 'jobs',
             'part': 's1',
             'key': f'{number:016x}',
-            'value': packed(HEAD) if number % SPOILT_EVERY else '***',
+            'value': packed(HEAD) if number % UNREADABLE_EVERY else '***',
             'ver': number + 1,
         }
         for number in range(ROWS)
     ]
 
 
-def median_s(act: Callable[[], object]) -> float:
-    """Return the median time of an action in seconds."""
+def median_s(action: Callable[[], object]) -> float:
+    """Return the median time of an action, in seconds."""
     times = []
     for _ in range(REPEATS):
         began = time.perf_counter()
-        act()
+        action()
         times.append(time.perf_counter() - began)
     return statistics.median(times)
 
 
-def filled(listed: list[dict[str, Any]]) -> PlatformRows:
-    """Return rows that are answered in pages."""
+def paged_rows(listed: list[dict[str, Any]]) -> PlatformRows:
+    """Return a row reader whose link returns the rows in pages."""
     link = ScriptedLink()
     for start in range(0, ROWS, PAGE):
         more = start + PAGE < ROWS
@@ -98,7 +98,7 @@
 
 
 def peak_mib(rows: PlatformRows) -> float:
-    """Return the peak of allocated memory of one reading."""
+    """Return the peak of allocated memory during one read, in MiB."""
     tracemalloc.start()
     rows.snapshot(['jobs/s1/'])
     _, peak = tracemalloc.get_traced_memory()
@@ -106,21 +106,21 @@
     return peak / MIB
 
 
-def say(line: str) -> None:
-    """Write a line."""
+def print_line(line: str) -> None:
+    """Print a line."""
     sys.stdout.write(f'{line}\n')
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure and print the figures."""
     listed = entries()
     for name, read in (('hand', row_codec.row_in), ('model', by_model)):
-        row_us = median_s(lambda: list(map(read, listed))) / ROWS * US
-        say(f'{name}: {row_us:.2f} us a row')
-    pages = [filled(listed) for _ in range(REPEATS)]
-    whole_ms = median_s(lambda: pages.pop().snapshot(['jobs/s1/'])) * MS
-    say(f'{ROWS} rows read whole: {whole_ms:.0f} ms')
-    say(f'peak: {peak_mib(filled(listed)):.1f} MiB')
+        row_us = median_s(lambda: list(map(read, listed))) / ROWS * US_PER_S
+        print_line(f'{name}: {row_us:.2f} us a row')
+    pages = [paged_rows(listed) for _ in range(REPEATS)]
+    whole_ms = median_s(lambda: pages.pop().snapshot(['jobs/s1/'])) * MS_PER_S
+    print_line(f'{ROWS} rows read whole: {whole_ms:.0f} ms')
+    print_line(f'peak: {peak_mib(paged_rows(listed)):.1f} MiB')
 
 
 if __name__ == '__main__':
