--- a/tests/discovery_case.py
+++ b/tests/discovery_case.py
@@ -1,4 +1,4 @@
-"""A test case over a list of replicas that is fed by hand."""
+"""A test case whose list of replicas is set by the test."""
 
 import operator
 import unittest
--- a/tests/quarter.py
+++ b/tests/quarter.py
@@ -1,4 +1,4 @@
-"""Some days of answers, replayed, and every event that was seen."""
+"""Replays several days of responses and records every event."""
 
 import random
 from collections.abc import Callable
--- a/tests/scripted_watch.py
+++ b/tests/scripted_watch.py
@@ -1,4 +1,4 @@
-"""A watch that answers as it is told, and a listener that keeps rows."""
+"""A watch with prepared answers, and a listener that keeps rows."""
 
 from cactusridge.store.table import Row
 from cactusridge.store.table_follower import TableListener
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, and what is said is true."""
+"""A non-idempotent request runs at most once, and its status is true."""
 
 from nose2.tools import params
 
--- a/tests/test_awake.py
+++ b/tests/test_awake.py
@@ -1,4 +1,4 @@
-"""Waiting that goes by the time a process has listened."""
+"""Tests of timeouts that exclude the time in which the process was paused."""
 
 import unittest
 from unittest import mock
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Work that is done again and again."""
+"""Tests of background work that repeats a step periodically."""
 
 import unittest
 
--- a/tests/test_burn_watch.py
+++ b/tests/test_burn_watch.py
@@ -1,4 +1,4 @@
-"""Alerts rise from an entry's own counts, without the store."""
+"""Burn alerts are raised from an entry's counts without the store."""
 
 import unittest
 
--- a/tests/test_catalog_peers.py
+++ b/tests/test_catalog_peers.py
@@ -1,4 +1,4 @@
-"""A configuration that only a peer has heard of."""
+"""Tests that a catalog version known only to a peer is fetched from it."""
 
 import unittest
 
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -1,4 +1,4 @@
-"""A process whose loop is late takes that for nobody's silence."""
+"""A process does not mistake a late event loop for silence of its peers."""
 
 import contextlib
 import unittest
@@ -31,7 +31,7 @@
 
     @params((0.03, REQUESTS), (0.09, REQUESTS))
     def test_sound_sidecars_are_not_silent(self, late_s, count):
-        """Every request is answered, however late."""
+        """Every request gets a response, however late."""
         late = gevent.spawn(block_turns, late_s)
         self.addCleanup(late.kill)
         sent = [
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,4 +1,4 @@
-"""A log whose reader does not read harms nobody."""
+"""A log whose reader does not read never blocks the process."""
 
 import os
 import unittest
--- a/tests/test_machine_store.py
+++ b/tests/test_machine_store.py
@@ -1,4 +1,4 @@
-"""The machines' store stand-in: what it says of its own transactions."""
+"""Tests the transactions of the stand-in for the machines' store."""
 
 import json
 import unittest
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -1,4 +1,4 @@
-"""A process that was paused takes its own pause for nobody's silence."""
+"""A process does not mistake its own pause for silence of its peers."""
 
 import time
 import unittest
--- a/tests/test_paused.py
+++ b/tests/test_paused.py
@@ -1,4 +1,4 @@
-"""A process that is paused at any point of an exchange goes on with it."""
+"""A process that is paused during an exchange continues it afterwards."""
 
 import socket
 import unittest
--- a/tests/test_platform_rows.py
+++ b/tests/test_platform_rows.py
@@ -1,4 +1,4 @@
-"""Rows that cannot be read cost themselves alone."""
+"""Unreadable rows of the platform do not affect the other rows."""
 
 import json
 import unittest
--- a/tests/test_recorder_flush.py
+++ b/tests/test_recorder_flush.py
@@ -1,4 +1,4 @@
-"""Periods are stored once each, however many flushes meet."""
+"""Each period is stored once even if several flushes overlap."""
 
 import unittest
 from unittest import mock
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -1,4 +1,7 @@
-"""Who is given up on is told at once, and when to come back."""
+"""Requests that cannot be served in time are refused at once.
+
+The refusal states when to retry.
+"""
 
 import unittest
 
--- a/tests/test_reply_timeout.py
+++ b/tests/test_reply_timeout.py
@@ -1,4 +1,4 @@
-"""How long the store is waited for."""
+"""Tests of the adaptive timeout for replies of the store."""
 
 import unittest
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The order of a start: nobody is ready before callers can connect."""
+"""Tests that no process reports ready before callers can connect to it."""
 
 import socket
 import unittest
--- a/tests/test_stop_serving.py
+++ b/tests/test_stop_serving.py
@@ -1,4 +1,4 @@
-"""What is served late in a planned stop, and what is counted of it."""
+"""Tests late requests to a stopping process and the counts it stores."""
 
 import unittest
 
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -1,4 +1,4 @@
-"""Strikes in the store."""
+"""Tests of strikes that are kept in the store."""
 
 import unittest
 
