--- a/tests/test_catalog_peers.py
+++ b/tests/test_catalog_peers.py
@@ -16,7 +16,7 @@
 
 
 class TestCatalogPeers(unittest.TestCase):
-    """The newest version that a peer names is fetched from it."""
+    """An entry fetches the newest version that a peer announces."""
 
     def setUp(self):
         """Serve the configuration of a peer that has version 7."""
@@ -32,12 +32,12 @@
         self.catalogs = CatalogPeers(self.holder)
 
     def test_newer_is_fetched(self):
-        """An entry that the store turns away gets version 7."""
+        """A newer version that a peer announces is fetched from it."""
         self.catalogs.heard(self.peer, 7)
         wait_for('version 7', lambda: self.holder.catalog.version == 7)
 
     def test_older_is_not(self):
-        """A peer that is behind is not asked."""
+        """A peer with an older version gets no request."""
         self.holder.take({**NEWER, 'version': 9})
         self.catalogs.heard(self.peer, 7)
         gevent.sleep(0.5)
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -11,10 +11,10 @@
 
 
 class TestLogStream(unittest.TestCase):
-    """Bounded, and never waited for."""
+    """Writes to the log are bounded and never block."""
 
     def setUp(self):
-        """Write to a pipe."""
+        """Open a log on a pipe."""
         reader, writer = os.pipe()
         self.reader = reader
         self.addCleanup(os.close, self.reader)
@@ -22,14 +22,14 @@
         self.stream = LogStream(writer)
 
     def test_reader_that_stops(self):
-        """Writing goes on at once though nobody reads."""
+        """Writing does not block though no process reads the pipe."""
         with gevent.Timeout(5):
             for _ in range(3 * MAX_WAITING):
                 self.stream.write(f'{LINE}\n')
             gevent.sleep(0)
 
     def test_volume_is_bounded(self):
-        """Over the burst, lines are dropped and their number is said."""
+        """Lines beyond the burst are dropped, and their number is logged."""
         for _ in range(BURST_LINES * 2):
             self.stream.write('line\n')
         found = b''
--- a/tests/test_machine_store.py
+++ b/tests/test_machine_store.py
@@ -15,10 +15,10 @@
 
 
 class TestMachineStore(unittest.TestCase):
-    """Its answers are those of one moment."""
+    """Concurrent writers get the versions of their own transactions."""
 
     def setUp(self):
-        """Serve it."""
+        """Serve the stand-in."""
         self.store = MachineStore()
         ports = Ports()
         self.addCleanup(ports.close)
@@ -28,7 +28,7 @@
         self.addCleanup(server.stop, 0)
 
     def write(self, key: str) -> list[bool]:
-        """Write a row again and again; tell whether each answer was true."""
+        """Write a row repeatedly; return whether each response was correct."""
         conn = HTTPConnection(*self.address, timeout=10)
         found = []
         for _ in range(ROUNDS):
@@ -41,7 +41,7 @@
         return found
 
     def test_version_of_a_transaction(self):
-        """A write's answer has its own version, whoever writes meanwhile."""
+        """A response has the version of its write despite concurrent writes."""
         writers = [
             gevent.spawn(self.write, f'k{number}') for number in range(WRITERS)
         ]
