--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -9,7 +9,8 @@
 import sys
 from pathlib import Path
 
-from bench.made_state import (
+from bench.slopes import Fit, cpu_us, fit_line, memory_bytes
+from bench.synthetic_state import (
     SERVICE,
     hosts_of,
     ledger_of,
@@ -18,7 +19,6 @@
     submission_of,
     tree_of,
 )
-from bench.slopes import Fit, cpu_us, fit_line, memory_bytes
 from cactusridge import wire
 from cactusridge.batch.job_reader import JobReader
 from cactusridge.batch.job_store import JobStore
--- a/bench/crashing_requests.py
+++ b/bench/crashing_requests.py
@@ -81,7 +81,7 @@
         gevent.sleep(rng.uniform(*REPEAT_S))
         number += 1
     gevent.joinall(calls)
-    crashes = sum(len(each.crashed) for each in site.replicas)
+    crashes = sum(len(each.crash_times_s) for each in site.replicas)
     return SeedResult(crashes, statistics.mean(call.value for call in calls))
 
 
--- a/bench/decisions/losses.py
+++ b/bench/decisions/losses.py
@@ -23,13 +23,13 @@
     """The reason for which worth was lost."""
 
     cut = 'the entry or replica was lost under it'
-    nobody = 'no entry could be reached'
+    no_connection = 'no entry could be reached'
     refused = 'refused at the last try'
     failed = 'failed at a replica'
     queued = 'late: waited in a replica’s queue'
     repeated = 'late: sent to a second replica'
     slow = 'late: slow at a replica without a queue'
-    elsewhere = 'late: no entry at first, or refused at first'
+    late_first_try = 'late: no entry at first, or refused at first'
     taken_late = 'batch late: its job was taken late'
     done_late = 'batch late: its result came late'
     prices = 'prices'
@@ -41,7 +41,7 @@
     'deadline': Reason.cut,
     'cut in the answer': Reason.cut,
     'cut, no answer': Reason.cut,
-    'no connection': Reason.nobody,
+    'no connection': Reason.no_connection,
     '429': Reason.refused,
     '503': Reason.refused,
 }
@@ -61,7 +61,7 @@
         False: _with_unseen(
             _online_late(log, slots),
             _late(day, batch=False),
-            Reason.elsewhere,
+            Reason.late_first_try,
         ),
     }
     found: Counter[Reason] = Counter()
--- a/bench/decisions/page.py
+++ b/bench/decisions/page.py
@@ -54,7 +54,7 @@
             difference(plays, each.before, each.after, attrgetter(measure))
             for measure in MEASURES
         ]
-        texts = (f'{cell.mean:+.3f} ± {cell.half:.3f}' for cell in cells)
+        texts = (f'{cell.mean:+.3f} ± {cell.half_width:.3f}' for cell in cells)
         lines.append(_row((str(each), str(cells[0].pairs), *texts)))
     return lines
 
--- a/bench/decisions/paired.py
+++ b/bench/decisions/paired.py
@@ -20,17 +20,17 @@
 
 
 class Difference(NamedTuple):
-    """The mean of paired differences; ``half`` is half its 95% interval."""
+    """Mean of paired differences; ``half_width`` is half its 95% interval."""
 
     pairs: int
     before: float
     mean: float
-    half: float
+    half_width: float
 
     @property
-    def clear(self) -> bool:
+    def excludes_zero(self) -> bool:
         """Whether the interval excludes zero."""
-        return abs(self.mean) > self.half
+        return abs(self.mean) > self.half_width
 
 
 def difference(
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -80,7 +80,7 @@
         )
 
     def _play(self, fleet: LocalFleet) -> Outcome:
-        names = fleet.named('entry')
+        names = fleet.names_of_kind('entry')
         caller = Caller([fleet.addresses[name] for name in names])
         before = self._counters(fleet)
         began = time.monotonic()
@@ -153,7 +153,7 @@
 
     def _counters(self, fleet: LocalFleet) -> dict[str, int]:
         total = 0
-        for name in fleet.named('engine'):
+        for name in fleet.names_of_kind('engine'):
             try:
                 found = fleet.call(name, '/load', method='GET')[1]
             except OSError:
@@ -165,7 +165,7 @@
         """Return the share of executions that repeat a prompt."""
         begun = 0
         prompts = set()
-        for name in fleet.named('engine'):
+        for name in fleet.names_of_kind('engine'):
             path = '/control/executions'
             found = fleet.call(name, path, method='GET')[1]['executions']
             fresh = [each for each in found if not each['resumed']]
@@ -201,7 +201,7 @@
         """Return the mean number of dispatches per online request."""
         attempts = float(0)
         retries = float(0)
-        for name in fleet.named('entry'):
+        for name in fleet.names_of_kind('entry'):
             raw = fleet.http.send(
                 fleet.addresses[name],
                 '/metrics',
--- a/demo/check.py
+++ b/demo/check.py
@@ -125,7 +125,9 @@
     elapsed_s = time.monotonic() - started_at
     if elapsed_s > APPLY_LIMIT_S:
         raise Missed(f'in force only after {elapsed_s:.1f} s')
-    count = len(fleet.named('entry')) + len(fleet.named('sidecar'))
+    count = len(fleet.names_of_kind('entry')) + len(
+        fleet.names_of_kind('sidecar')
+    )
     return f'version {version} in force on {count} processes'
 
 
@@ -152,6 +154,8 @@
 def _is_applied(fleet: LocalFleet, version: int) -> bool:
     found = fleet.call('entry-0', '/admin/status', None, ADMIN, 'GET')[1]
     reports = [*found['entries'].values(), *found['sidecars'].values()]
-    wanted = len(fleet.named('entry')) + len(fleet.named('sidecar'))
+    wanted = len(fleet.names_of_kind('entry')) + len(
+        fleet.names_of_kind('sidecar')
+    )
     lowest = min(each.get('version', 0) for each in reports)
     return len(reports) == wanted and lowest >= version
--- a/demo/run.py
+++ b/demo/run.py
@@ -41,7 +41,7 @@
     Returns 1 if a check or a process failed, else 0.
     """
     fleet.start()
-    urls = ' and '.join(map(fleet.url, fleet.named('entry')))
+    urls = ' and '.join(map(fleet.url, fleet.names_of_kind('entry')))
     sys.stdout.write(f'ready: {urls}, token demo\n')
     sys.stdout.flush()
     failures = 0
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -86,7 +86,7 @@
         link = self._world.caller_links[self._called_entry]
         if self._disconnected:
             end = CallEnd.caller_closed
-        elif resp is None and self._local_address in link.unreached:
+        elif resp is None and self._local_address in link.unforwarded_clients:
             end = CallEnd.unreached
         call = Call(
             request_id,
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -8,7 +8,7 @@
 import itertools
 from collections import Counter
 
-from soak.record import Began, Call, CallEnd, Job, Record
+from soak.record import Call, CallEnd, Job, Record, RunStart
 
 # Statuses of requests that have not run and never will.
 REFUSALS = frozenset((408, 421, 429, 503))
@@ -51,14 +51,14 @@
     """
     for job in record.jobs.values():
         owed = job.accepted_at is not None and job.end_requested_at is None
-        listed = {each['id'] for each in job.positions}
+        listed = {each['id'] for each in job.listed_results}
         missing = set(job.item_ids()) - listed
         if owed and missing:
             text = f'{job.id}: {sorted(missing)}, nothing for {seconds} s'
             record.add_violation('items complete', text)
 
 
-def _check_call(record: Record, call: Call, runs: list[Began]) -> None:
+def _check_call(record: Record, call: Call, runs: list[RunStart]) -> None:
     if call.kind == 'on' and len(runs) > 1:
         record.add_violation('once', f'{call.id} ran at {_locations(runs)}')
     if call.status in REFUSALS and runs and call.kind == 'on':
@@ -77,9 +77,11 @@
         )
 
 
-def _check_job(record: Record, job: Job, runs: dict[str, list[Began]]) -> None:
+def _check_job(
+    record: Record, job: Job, runs: dict[str, list[RunStart]]
+) -> None:
     ids = job.item_ids()
-    listed = Counter(each['id'] for each in job.positions)
+    listed = Counter(each['id'] for each in job.listed_results)
     for item_id, count in listed.items():
         if count > 1:
             record.add_violation('listed once', f'{item_id} {count} times')
@@ -88,7 +90,7 @@
                 'whole answer', f'{item_id} listed in {job.id}'
             )
     bodies = dict(zip(ids, job.bodies, strict=True))
-    for found in list(job.positions):
+    for found in list(job.listed_results):
         _check_result(record, found, bodies.get(found['id'], ''))
     if job.refused and any(item_id in runs for item_id in ids):
         record.add_violation(
@@ -111,7 +113,7 @@
         record.add_violation('given up too early', text)
 
 
-def _check_ended_jobs(record: Record, runs: dict[str, list[Began]]) -> None:
+def _check_ended_jobs(record: Record, runs: dict[str, list[RunStart]]) -> None:
     for job in record.jobs.values():
         if job.end_acknowledged_at is None:
             continue
@@ -129,16 +131,18 @@
 
 def _check_withheld(record: Record) -> None:
     """Check that no request started at an incarnation excluded from them."""
-    for began, withheld in itertools.product(record.began, record.withheld):
-        settled = withheld.since + DRAIN_BOUND_S
-        late = settled < began.at <= withheld.until
-        if began.life != withheld.life or not late:
+    for run_start, exclusion in itertools.product(
+        record.run_starts, record.exclusions
+    ):
+        settled = exclusion.since + DRAIN_BOUND_S
+        late = settled < run_start.at <= exclusion.until
+        if run_start.life != exclusion.life or not late:
             continue
         if record.is_undisturbed(
-            began.at - QUIET_S, began.at, planned_too=False
+            run_start.at - QUIET_S, run_start.at, planned_too=False
         ):
-            text = f'{began.id} at {began.life} at {began.at}'
-            record.add_violation(withheld.promise, text)
+            text = f'{run_start.id} at {run_start.life} at {run_start.at}'
+            record.add_violation(exclusion.promise, text)
 
 
 def _check_configuration(record: Record) -> None:
@@ -179,7 +183,9 @@
             )
 
 
-def _check_planned_cuts(record: Record, runs: dict[str, list[Began]]) -> None:
+def _check_planned_cuts(
+    record: Record, runs: dict[str, list[RunStart]]
+) -> None:
     """Check that planned operations leave no request without a response."""
     for call in record.calls:
         if call.end not in {CallEnd.cut, CallEnd.closed, CallEnd.silent}:
@@ -193,5 +199,5 @@
             record.add_violation('planned work cuts nothing', text)
 
 
-def _locations(runs: list[Began]) -> str:
+def _locations(runs: list[RunStart]) -> str:
     return ', '.join(f'{each.life} at {each.at:.3f}' for each in runs)
--- a/soak/job_callers.py
+++ b/soak/job_callers.py
@@ -64,7 +64,11 @@
             gevent.sleep(self._rng.uniform(0, 2 * PAUSE_S))
             if self._rng.random() < RESEND_SHARE / 10:
                 self._resend(job)
-            if ends and len(job.positions) and job.end_acknowledged_at is None:
+            if (
+                ends
+                and len(job.listed_results)
+                and job.end_acknowledged_at is None
+            ):
                 self.end(job)
             self.read(job, self._random_entry())
 
@@ -156,21 +160,21 @@
                 'results stay', f'{job.id}: total {page["total"]}'
             )
         for position, found in enumerate(page['results'], first):
-            if position < len(job.positions):
-                known = job.positions[position]
+            if position < len(job.listed_results):
+                known = job.listed_results[position]
                 if known != found:
                     self._add_violation(
                         'results stay',
                         f'{job.id} at {position}: {known} then {found}',
                     )
-            elif position == len(job.positions):
-                job.positions.append(found)
+            elif position == len(job.listed_results):
+                job.listed_results.append(found)
 
     def _next_position(self, job: Job) -> int:
         """Return the next position to read, or sometimes an earlier one."""
         if self._rng.random() < RESEND_SHARE:
-            return self._rng.randint(0, len(job.positions))
-        return len(job.positions)
+            return self._rng.randint(0, len(job.listed_results))
+        return len(job.listed_results)
 
     def _random_entry(self) -> str:
         return self._rng.choice(sorted(self._world.caller_links))
@@ -201,5 +205,5 @@
 
 def complete(job: Job) -> bool:
     """Return whether all results are listed or the job was ended."""
-    all_listed = len(job.positions) == len(job.bodies)
+    all_listed = len(job.listed_results) == len(job.bodies)
     return all_listed or job.end_acknowledged_at is not None
--- a/soak/link_faults.py
+++ b/soak/link_faults.py
@@ -45,7 +45,7 @@
 
     def begin(self) -> None:
         """Stop forwarding on the open connections."""
-        self.link.silence()
+        self.link.stall_connections()
 
 
 class AnswersLost(LinkFault):
@@ -53,11 +53,11 @@
 
     def begin(self) -> None:
         """Start to drop responses."""
-        self.link.deaf = True
+        self.link.drop_responses = True
 
     def end(self) -> None:
         """Stop dropping responses and reset open connections."""
-        self.link.deaf = False
+        self.link.drop_responses = False
         self.link.reset()
 
 
@@ -66,11 +66,11 @@
 
     def begin(self) -> None:
         """Start to drop requests."""
-        self.link.mute = True
+        self.link.drop_requests = True
 
     def end(self) -> None:
         """Stop dropping requests and reset open connections."""
-        self.link.mute = False
+        self.link.drop_requests = False
         self.link.reset()
 
 
@@ -80,7 +80,7 @@
     def begin(self) -> None:
         """Refuse new connections and close the open ones."""
         self.link.refusing = True
-        self.link.cut()
+        self.link.shut_down_connections()
 
     def end(self) -> None:
         """Accept connections again."""
--- a/soak/list_faults.py
+++ b/soak/list_faults.py
@@ -3,11 +3,11 @@
 import random
 import time
 
-from soak.record import Withheld
+from soak.record import ExclusionInterval
 from soak.replica import STRAY
 from soak.replica_faults import ReplicaFault
 from soak.world import World
-from standins.machines.spoiled import SPOILED
+from standins.machines.corrupt_entries import CORRUPTIONS
 from standins.machines.store import Place
 
 # This kind of damage is a value that is not base64. All other kinds are valid
@@ -26,16 +26,16 @@
     def __init__(self, world: World, rng: random.Random) -> None:
         """Draw the replica and the kind of damage."""
         super().__init__(world, rng)
-        self._how = rng.choice([*sorted(SPOILED), NOT_PACKED])
+        self._how = rng.choice([*sorted(CORRUPTIONS), NOT_PACKED])
         self.target = f'{self.target}, {self._how}'
 
     def _write(self, place: Place) -> None:
         """Write a corrupt copy of the replica's entry at ``place``."""
         if self._how == NOT_PACKED:
-            self.world.store.put_packed(place, PACKED_WRONGLY)
+            self.world.store.put_encoded(place, PACKED_WRONGLY)
             return
-        entry = self.world.listed(self.replica, self.link.address)
-        self.world.store.put_bytes(place, SPOILED[self._how](entry))
+        entry = self.world.list_entry(self.replica, self.link.address)
+        self.world.store.put_bytes(place, CORRUPTIONS[self._how](entry))
 
 
 class EntrySpoiled(ListFault):
@@ -50,24 +50,24 @@
         if not self._applies:
             return
         self.world.spoiled.add(self._place)
-        self._before = self.world.store.packed(self._place)
+        self._before = self.world.store.encoded(self._place)
         self._write(self._place)
-        self._written = self.world.store.packed(self._place)
+        self._written = self.world.store.encoded(self._place)
 
     def end(self) -> None:
         """Restore the entry unless it has been written again meanwhile."""
         if not self._applies:
             return
         self.world.spoiled.discard(self._place)
-        withheld = Withheld(
+        exclusion = ExclusionInterval(
             self._incarnation,
             self._started_at,
             time.monotonic(),
             'unreadable names none',
         )
-        self.world.record.withheld.append(withheld)
-        if self.world.store.packed(self._place) == self._written:
-            self.world.store.put_packed(self._place, self._before)
+        self.world.record.exclusions.append(exclusion)
+        if self.world.store.encoded(self._place) == self._written:
+            self.world.store.put_encoded(self._place, self._before)
 
 
 class StrayEntry(ListFault):
--- a/soak/process_faults.py
+++ b/soak/process_faults.py
@@ -71,7 +71,7 @@
         """Refuse its store connections; suspend it ``RUNS_ON_S`` later."""
         link = self.world.store_links[self.entry]
         link.refusing = True
-        link.cut()
+        link.shut_down_connections()
         gevent.sleep(RUNS_ON_S)
         self.world.pause(self.entry)
 
--- a/soak/record.py
+++ b/soak/record.py
@@ -42,7 +42,7 @@
     version: int | None = None
 
 
-class Began(NamedTuple):
+class RunStart(NamedTuple):
     """The start of a request or an item at an incarnation of a replica."""
 
     id: str
@@ -51,7 +51,7 @@
     at: float
 
 
-class Withheld(NamedTuple):
+class ExclusionInterval(NamedTuple):
     """An interval in which an incarnation may receive no requests.
 
     The times are in seconds. ``promise`` is the promise that a run started
@@ -82,7 +82,7 @@
         self.accepted_at: float | None = None
         self.end_requested_at: float | None = None
         self.end_acknowledged_at: float | None = None
-        self.positions: list[dict[str, str]] = []
+        self.listed_results: list[dict[str, str]] = []
 
     @property
     def refused(self) -> bool:
@@ -110,14 +110,14 @@
     def __init__(self) -> None:
         """Create an empty record."""
         self.calls: list[Call] = []
-        self.began: list[Began] = []
+        self.run_starts: list[RunStart] = []
         self.failed_runs: Counter[str] = Counter()
         self.jobs: dict[str, Job] = {}
         self.disturbances: list[Disturbance] = []
         self.violations: list[Violation] = []
         # When the store acknowledged each catalog version, in seconds.
         self.versions: dict[int, float] = {}
-        self.withheld: list[Withheld] = []
+        self.exclusions: list[ExclusionInterval] = []
 
     def add_violation(self, promise: str, text: str) -> None:
         """Record a broken promise, once for each evidence text."""
@@ -139,11 +139,11 @@
             for disturbance in self.disturbances
         )
 
-    def runs_by_id(self) -> dict[str, list[Began]]:
+    def runs_by_id(self) -> dict[str, list[RunStart]]:
         """Return the runs of each request or item, in start order."""
-        found: dict[str, list[Began]] = defaultdict(list)
-        for began in self.began:
-            found[began.id].append(began)
+        found: dict[str, list[RunStart]] = defaultdict(list)
+        for run_start in self.run_starts:
+            found[run_start.id].append(run_start)
         return found
 
     def figures(self) -> dict[str, int]:
@@ -152,13 +152,13 @@
             str(call.status or call.end.value) for call in self.calls
         )
         listed = itertools.chain.from_iterable(
-            job.positions for job in self.jobs.values()
+            job.listed_results for job in self.jobs.values()
         )
         return {
             'calls': len(self.calls),
             **dict(sorted(ends.items())),
             'jobs': len(self.jobs),
             'items_listed': len(list(listed)),
-            'runs': len(self.began),
+            'runs': len(self.run_starts),
             'faults': len(self.disturbances),
         }
--- a/soak/replica.py
+++ b/soak/replica.py
@@ -7,7 +7,7 @@
 import gevent
 
 from cactusridge.http.exchange import HEADERS_KEY, TARGET_KEY
-from soak.record import Began, Record
+from soak.record import Record, RunStart
 from standins.machines.replica import MachineReplica
 
 HANG_S = 30
@@ -34,8 +34,10 @@
         expected = headers.get('X-Expect-Instance', '')
         if expected == self.id:
             now = time.monotonic()
-            began = Began(request_id, environ[TARGET_KEY], self.life, now)
-            self._record.began.append(began)
+            run_start = RunStart(
+                request_id, environ[TARGET_KEY], self.life, now
+            )
+            self._record.run_starts.append(run_start)
         if expected.startswith(STRAY):
             text = f'{request_id} was sent to {expected}'
             self._record.add_violation('unreadable names none', text)
@@ -54,9 +56,9 @@
         """Return the body of a response that is not streamed."""
         return f'{request_id} '.encode() + body
 
-    def failing(self, request_id: str, body: bytes) -> str | None:
+    def failure_status(self, request_id: str, body: bytes) -> str | None:
         """Return the status of a request that fails, None for one that runs."""
-        status = super().failing(request_id, body)
+        status = super().failure_status(request_id, body)
         self._count += 1
         # Failures are spread evenly, so that the seed determines them.
         grey = math.modf(self._count * self.grey)[0] + self.grey >= 1
--- a/soak/replica_faults.py
+++ b/soak/replica_faults.py
@@ -5,7 +5,7 @@
 import time
 
 from soak.faults import Fault
-from soak.record import Withheld
+from soak.record import ExclusionInterval
 from soak.world import World
 from standins.forwarder import Forwarder
 
@@ -68,11 +68,13 @@
 
     def begin(self) -> None:
         """Let the replica close the next streams early."""
-        self.replica.cut_after = [self.rng.randint(1, 6) for _ in range(4)]
+        self.replica.close_after_events = [
+            self.rng.randint(1, 6) for _ in range(4)
+        ]
 
     def end(self) -> None:
         """Let the replica complete its streams again."""
-        self.replica.cut_after = []
+        self.replica.close_after_events = []
 
 
 class Crossed(ReplicaFault):
@@ -80,11 +82,11 @@
 
     def begin(self) -> None:
         """Let the next responses have a wrong request id."""
-        self.replica.spoil = ['crossed', 'crossed', 'crossed']
+        self.replica.wrong_request_ids = ['crossed', 'crossed', 'crossed']
 
     def end(self) -> None:
         """Return correct responses again."""
-        self.replica.spoil = []
+        self.replica.wrong_request_ids = []
 
 
 class Grey(ReplicaFault):
@@ -120,13 +122,13 @@
     def begin(self) -> None:
         """List the replica as draining; it may receive no new requests."""
         self.world.register(self.replica, self.link.address, 'draining')
-        withheld = Withheld(
+        exclusion = ExclusionInterval(
             self.replica.life,
             time.monotonic(),
             math.inf,
             'leaving gets nothing',
         )
-        self.world.record.withheld.append(withheld)
+        self.world.record.exclusions.append(exclusion)
 
     def end(self) -> None:
         """Register the replica again under a new id."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -131,7 +131,7 @@
     checks.check_outstanding(world.record, FINISH_S)
     # Every entry must list every job, from its start and from its middle.
     for job, name in itertools.product(jobs, world.entries):
-        firsts = {0, len(job.positions) // 2}
+        firsts = {0, len(job.listed_results) // 2}
         if {reader.read(job, name, first) for first in firsts} != {200}:
             world.record.add_violation(
                 'results readable', f'{job.id} at {name}'
@@ -142,7 +142,7 @@
     """Wait until all jobs are done, or ``FINISH_S`` without progress."""
     listed, since = 0, time.monotonic()
     while not all(map(complete, jobs)):
-        now_listed = sum(len(job.positions) for job in jobs)
+        now_listed = sum(len(job.listed_results) for job in jobs)
         if now_listed > listed:
             listed, since = now_listed, time.monotonic()
         if time.monotonic() - since > FINISH_S:
--- a/soak/store_faults.py
+++ b/soak/store_faults.py
@@ -36,11 +36,11 @@
 
     def begin(self) -> None:
         """Set a random delay."""
-        self.store.slow_s = self.rng.uniform(*SLOW_S)
+        self.store.response_delay_s = self.rng.uniform(*SLOW_S)
 
     def end(self) -> None:
         """Remove the delay."""
-        self.store.slow_s = 0
+        self.store.response_delay_s = 0
 
 
 class AnswersOfWritesLost(StoreFault):
@@ -65,7 +65,7 @@
 
     def begin(self) -> None:
         """Drop the history."""
-        self.store.forget_history()
+        self.store.drop_history()
 
 
 class StoreUnreachable(Fault):
@@ -80,7 +80,7 @@
         self.target = ' '.join(self._names)
         for name in self._names:
             self.world.store_links[name].refusing = True
-            self.world.store_links[name].cut()
+            self.world.store_links[name].shut_down_connections()
 
     def end(self) -> None:
         """Accept their connections again."""
--- a/standins/severing.py
+++ b/standins/close_connection.py
@@ -6,7 +6,7 @@
 from cactusridge.http.exchange import SOCKET_KEY, Req
 
 
-def sever(req: Req) -> None:
+def close_connection(req: Req) -> None:
     """Shut down the connection of ``req`` without sending a response."""
     with contextlib.suppress(OSError):
         req.environ[SOCKET_KEY].shutdown(socket.SHUT_RDWR)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -12,11 +12,11 @@
 from cactusridge.errors import BadRequest, CactusridgeError, Conflict
 from cactusridge.http.app import App, route
 from cactusridge.http.exchange import Reply, Req, json_reply
+from standins.close_connection import close_connection
 from standins.engine_messages import chunk, completion, event, last_chunk
 from standins.fault_control import FaultControl
 from standins.faults import Fault, FaultKind, Faults, wait_out
 from standins.model import ContinuousBatch, EngineSpeed, Stream
-from standins.severing import sever
 
 MAX_BODY = 1 << 26
 BODY_TIMEOUT_S = 60
@@ -78,7 +78,7 @@
         raw = req.body()
         fault = self.faults.take(raw.decode())
         if fault is not None and fault.kind == FaultKind.cut:
-            sever(req)
+            close_connection(req)
             raise EngineCrashed
         message = wire.decode(raw)
         self._check_fence(req)
@@ -186,14 +186,14 @@
                     return
         finally:
             self.streams.pop(stream.id, None)
-            if stream.made < stream.tokens:
+            if stream.generated_tokens < stream.tokens:
                 self.batch.remove(stream)
 
     def _next_token(self, req: Req, stream: Stream) -> int:
         number = None
         while number is None:
-            if stream.gone.is_set() or req.caller_gone():
-                sever(req)
+            if stream.ended.is_set() or req.caller_gone():
+                close_connection(req)
                 raise EngineCrashed
             with contextlib.suppress(Empty):
                 number = stream.out.get(timeout=TOKEN_POLL_S)
@@ -242,7 +242,7 @@
 def _apply_response_fault(req: Req, fault: Fault | None) -> None:
     """Stall, or close the connection and raise EngineCrashed, by fault."""
     if fault is not None and fault.kind == FaultKind.lose_answer:
-        sever(req)
+        close_connection(req)
         raise EngineCrashed
     if fault is not None and fault.kind == FaultKind.stall:
         gevent.sleep(fault.seconds)
--- a/standins/forwarder.py
+++ b/standins/forwarder.py
@@ -18,7 +18,8 @@
 class Forwarder:
     """Forwards connections to a target process and injects faults.
 
-    ``cut``, ``reset`` and ``silence`` affect open connections only.
+    ``shut_down_connections``, ``reset`` and ``stall_connections`` affect open
+    connections only.
     """
 
     def __init__(self, target: Address) -> None:
@@ -28,14 +29,15 @@
         self._connections: list[tuple[socket.socket, socket.socket, Event]] = []
         self.address = target
         self.refusing = False
-        # ``deaf`` drops data from the target, ``mute`` data to the target.
-        self.deaf = False
-        self.mute = False
+        # ``drop_responses`` drops data from the target, ``drop_requests`` data
+        # to the target.
+        self.drop_responses = False
+        self.drop_requests = False
         # Seconds by which each block is delayed, in both directions.
         self.delay_s = float(0)
-        self.opened = 0
+        self.accepted_count = 0
         # Addresses of clients that connected while the target was unreachable.
-        self.unreached: set[tuple[str, int]] = set()
+        self.unforwarded_clients: set[tuple[str, int]] = set()
 
     def start(self) -> Address:
         """Start listening and return the address."""
@@ -43,7 +45,7 @@
         self.address = Address('127.0.0.1', self._server.server_port)
         return self.address
 
-    def cut(self) -> None:
+    def shut_down_connections(self) -> None:
         """Shut down every open connection."""
         for client_sock, target_sock, _ in self._connections:
             _close(client_sock)
@@ -57,7 +59,7 @@
             _reset(target_sock)
         self._connections = []
 
-    def silence(self) -> None:
+    def stall_connections(self) -> None:
         """Stop forwarding data on open connections without closing them."""
         for _, _, flowing in self._connections:
             flowing.clear()
@@ -66,18 +68,18 @@
     def stop(self) -> None:
         """Stop listening and shut down open connections."""
         self._server.stop(timeout=0)
-        self.cut()
+        self.shut_down_connections()
 
     def _serve(self, client_sock: socket.socket, _: object) -> None:
         if self.refusing:
             return
-        self.opened += 1
+        self.accepted_count += 1
         flowing = Event()
         flowing.set()
         try:
             target_sock = socket.create_connection(self.target, timeout=2)
         except OSError:
-            self.unreached.add(client_sock.getpeername())
+            self.unforwarded_clients.add(client_sock.getpeername())
             return
         target_sock.settimeout(None)
         for sock in (client_sock, target_sock):
@@ -113,7 +115,7 @@
             _close(to_sock)
 
     def _drops(self, to_client: bool) -> bool:
-        return self.deaf if to_client else self.mute
+        return self.drop_responses if to_client else self.drop_requests
 
 
 def _reset(sock: socket.socket) -> None:
--- a/standins/local_fleet.py
+++ b/standins/local_fleet.py
@@ -133,11 +133,11 @@
 
     def wait_ready(self) -> None:
         """Wait until every entry is ready and serves with every sidecar."""
-        for name in self.named('entry'):
+        for name in self.names_of_kind('entry'):
             self._wait_http(name, '/readyz')
             self._wait_fleet(name)
 
-    def named(self, kind: str) -> list[str]:
+    def names_of_kind(self, kind: str) -> list[str]:
         """Return the names of the processes of a kind."""
         return [name for name in self.processes if name.startswith(kind)]
 
@@ -166,7 +166,7 @@
         order = ('entry', 'sidecar', 'engine', 'plain', 'platform')
         statuses = {}
         for kind in order:
-            names = self.named(kind)
+            names = self.names_of_kind(kind)
             for name in names:
                 self.processes[name].send(15)
             for name in names:
@@ -191,7 +191,7 @@
         extra_args: list[str] | None = None,
     ) -> None:
         if name not in self.addresses:
-            self.addresses[name] = self._ports.give()
+            self.addresses[name] = self._ports.reserve()
         whole = [*args, str(self.addresses[name]), *(extra_args or [])]
         self.processes[name] = LocalProcess(name, whole, self.folder)
 
@@ -203,7 +203,7 @@
         number: int,
     ) -> None:
         if name not in self.addresses:
-            self.addresses[name] = self._ports.give()
+            self.addresses[name] = self._ports.reserve()
         raw['listen'] = str(self.addresses[name])
         raw['zone'] = ZONES[number % len(ZONES)]
         path = self.folder / f'{name}.yaml'
@@ -243,4 +243,4 @@
         own = reply['entries'][str(self.addresses[name])]
         # An entry may become ready with settings older than the last seeded.
         current = own['version'] >= self._seeded_version
-        return current and len(serving) == len(self.named('sidecar'))
+        return current and len(serving) == len(self.names_of_kind('sidecar'))
--- a/standins/machines/spoiled.py
+++ b/standins/machines/corrupt_entries.py
@@ -32,7 +32,7 @@
 
 # Functions that corrupt an entry, by the kind of damage. No entry that they
 # return names a replica that may be used.
-SPOILED: Mapping[str, Spoil] = MappingProxyType(
+CORRUPTIONS: Mapping[str, Spoil] = MappingProxyType(
     {
         'no address': _removing('address'),
         'no service': _removing('service'),
--- a/standins/machines/listed_replicas.py
+++ b/standins/machines/listed_replicas.py
@@ -6,8 +6,8 @@
 
 from cactusridge.http.client import Address
 from standins.forwarder import Forwarder
+from standins.machines.corrupt_entries import CORRUPTIONS
 from standins.machines.replica import MachineReplica
-from standins.machines.spoiled import SPOILED
 from standins.machines.store import MachineStore
 
 # Seconds from a replica's crash until it accepts connections again.
@@ -33,7 +33,7 @@
         self.replica_links: list[Forwarder] = []
         self._slots = slots
         # Whether a crashed replica restarts under another id.
-        self.renames = False
+        self.restarts_under_new_id = False
 
     def register(
         self,
@@ -42,10 +42,10 @@
         state: str = 'ready',
     ) -> None:
         """Write the list entry of a replica to the store."""
-        entry = self.listed(replica, address, state)
+        entry = self.list_entry(replica, address, state)
         self.store.put(('servers', '', replica.id), entry)
 
-    def listed(
+    def list_entry(
         self,
         replica: MachineReplica,
         address: Address,
@@ -91,28 +91,28 @@
         replica, link = self.replicas[number], self.replica_links[number]
         link.refusing = True
         if silent:
-            link.silence()
+            link.stall_connections()
         replica.restart()
         link.reset()
         old = replica.id
-        if self.renames:
+        if self.restarts_under_new_id:
             replica.id = f'{old}+'
         gevent.spawn_later(RESTART_DELAY_S, self._reopen, number)
         gevent.spawn_later(
             OLD_ENTRY_REMOVAL_S, self._remove_old_entry, number, old
         )
 
-    def spoil_entry(self, number: int, how: str) -> None:
+    def corrupt_entry(self, number: int, how: str) -> None:
         """Corrupt a replica's list entry, as a faulty writer would.
 
-        ``how`` is a key of ``SPOILED``. The replica itself keeps running.
+        ``how`` is a key of ``CORRUPTIONS``. The replica itself keeps running.
         """
         replica = self.replicas[number]
-        entry = self.listed(replica, self.replica_address(number))
-        raw = SPOILED[how](entry)
+        entry = self.list_entry(replica, self.replica_address(number))
+        raw = CORRUPTIONS[how](entry)
         self.store.put_bytes(('servers', '', replica.id), raw)
 
-    def mend_entry(self, number: int) -> None:
+    def restore_entry(self, number: int) -> None:
         """Write a correct list entry for a replica again."""
         self.register(self.replicas[number], self.replica_address(number))
 
@@ -126,4 +126,4 @@
 
     def _reopen(self, number: int) -> None:
         self.replica_links[number].refusing = False
-        self.mend_entry(number)
+        self.restore_entry(number)
--- a/standins/machines/replica.py
+++ b/standins/machines/replica.py
@@ -26,7 +26,7 @@
 Start = Any
 
 
-class Cut(Exception):
+class ResponseCut(Exception):
     """The replica closes the connection in the middle of a response."""
 
 
@@ -34,14 +34,14 @@
     """Runs requests and records them for the tests.
 
     The body of a request is ``N`` or ``N EVENT_SECONDS``: the replica sends
-    ``N`` events, one every ``EVENT_SECONDS``. Each number in ``cut_after``
-    closes one of the next streams in the middle of that event. Each id in
-    ``spoil`` replaces the request id in one of the next responses. A body
-    that contains ``crash`` crashes the replica and all its requests shortly
-    after the request starts, before any event; if the body also contains
-    ``silent``, open connections stop carrying data instead of being closed.
-    ``born`` is the start time of the current incarnation in Unix
-    milliseconds. The recorded counts include all incarnations.
+    ``N`` events, one every ``EVENT_SECONDS``. Each number in
+    ``close_after_events`` closes one of the next streams in the middle of that
+    event. Each id in ``wrong_request_ids`` replaces the request id in one of
+    the next responses. A body that contains ``crash`` crashes the replica and
+    all its requests shortly after the request starts, before any event; if the
+    body also contains ``silent``, open connections stop carrying data instead
+    of being closed. ``born`` is the start time of the current incarnation in
+    Unix milliseconds. The recorded counts include all incarnations.
     """
 
     def __init__(self, replica_id: str, slots: int) -> None:
@@ -49,14 +49,14 @@
         self.id = replica_id
         self.born = time.time_ns() // NS_PER_MS
         self.runs: Counter[str] = Counter()
-        self.seen: dict[str, dict[str, str]] = {}
+        self.request_headers: dict[str, dict[str, str]] = {}
         self.targets: list[str] = []
-        self.cut_after: list[int] = []
-        self.spoil: list[str] = []
+        self.close_after_events: list[int] = []
+        self.wrong_request_ids: list[str] = []
         self.running = 0
-        self.most = 0
-        self.left = 0
-        self.crashed: list[float] = []
+        self.max_running = 0
+        self.incomplete_streams = 0
+        self.crash_times_s: list[float] = []
         self._on_crash: Callable[[bool], None] | None = None
         self._slot_count = slots
         self._slots = BoundedSemaphore(slots)
@@ -71,7 +71,7 @@
             return self._refuse(start, '400 Bad Request')
         body = environ['wsgi.input'].read()
         self.runs[request_id] += 1
-        self.seen[request_id] = headers
+        self.request_headers[request_id] = headers
         self.targets.append(environ[TARGET_KEY])
         reply_headers = [
             ('X-Attempt-Id', request_id),
@@ -101,7 +101,7 @@
         """Return the body of a response that is not streamed."""
         return body
 
-    def failing(self, request_id: str, body: bytes) -> str | None:
+    def failure_status(self, request_id: str, body: bytes) -> str | None:
         """Return the status of a request that fails, None for one that runs."""
         return FAILING.get(body.partition(b' ')[0])
 
@@ -119,15 +119,15 @@
         request_id = reply_headers[0][1]
         if CRASH in body and body.startswith(b'plain'):
             return self._crash(SILENT in body)
-        status = self.failing(request_id, body)
+        status = self.failure_status(request_id, body)
         if status is not None:
             start(status, reply_headers)
             return [body]
         if body.startswith(b'plain'):
             start('200 OK', reply_headers)
             return [self.plain(request_id, body)]
-        if self.spoil:
-            wrong = self.spoil.pop(0)
+        if self.wrong_request_ids:
+            wrong = self.wrong_request_ids.pop(0)
             start('200 OK', [('X-Attempt-Id', wrong), reply_headers[1]])
             return [b'spoiled']
         kind = ('Content-Type', 'text/event-stream')
@@ -139,16 +139,16 @@
         return self._events(request_id, body, last)
 
     def _crash(self, silent: bool) -> NoReturn:
-        """Call the crash listener after a delay; always raise Cut."""
+        """Call the crash listener after a delay; always raise ResponseCut."""
         gevent.sleep(CRASH_DELAY_S)
-        self.crashed.append(time.monotonic())
+        self.crash_times_s.append(time.monotonic())
         if self._on_crash is not None:
             self._on_crash(silent)
-        raise Cut
+        raise ResponseCut
 
     def _finish(self, slots: BoundedSemaphore, complete: bool) -> None:
         self.running -= slots is self._slots
-        self.left += not complete
+        self.incomplete_streams += not complete
         slots.release()
 
     def _refuse(self, start: Start, status: str) -> list[bytes]:
@@ -162,20 +162,22 @@
         last: str,
     ) -> Iterator[bytes]:
         count, _, event_s = body.decode().partition(' ')
-        cut_after = self.cut_after.pop(0) if self.cut_after else None
+        close_after_events = (
+            self.close_after_events.pop(0) if self.close_after_events else None
+        )
         slots = self._slots
         slots.acquire()
         self.running += slots is self._slots
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         complete = False
         try:
             for number in range(int(last) + 1, int(count) + 1):
                 gevent.sleep(self.step_s(float(event_s or STEP_S)))
                 if slots is not self._slots:
-                    raise Cut
-                if number == cut_after:
+                    raise ResponseCut
+                if number == close_after_events:
                     yield f'id: {number}\nda'.encode()
-                    raise Cut
+                    raise ResponseCut
                 text = self.text(request_id, number)
                 yield f'id: {number}\ndata: {text}\n\n'.encode()
             complete = True
--- a/standins/machines/site.py
+++ b/standins/machines/site.py
@@ -77,7 +77,7 @@
         # Additional headers of every job item.
         self.item_headers: dict[str, str] = {}
         # Additional start settings of the entries.
-        self.more: dict[str, Any] = {}
+        self.extra_settings: dict[str, Any] = {}
 
     def start(self) -> None:
         """Start the servers of the store and replicas; write the catalog."""
@@ -148,7 +148,7 @@
         name: str,
         job_id: str,
         bodies: list[str],
-        more: dict[str, str] | None = None,
+        extra_headers: dict[str, str] | None = None,
     ) -> int:
         """Submit a job with an item for each of ``bodies``."""
         items = [
@@ -163,7 +163,7 @@
         ]
         raw = json.dumps({'items': items}).encode()
         kind = {'Content-Type': 'application/json'}
-        sent = {'X-Attempt-Id': job_id, **kind, **(more or {})}
+        sent = {'X-Attempt-Id': job_id, **kind, **(extra_headers or {})}
         return self.call(name, 'POST', '/lots/x', raw, sent)[0]
 
     def results(self, name: str, job_id: str) -> list[dict[str, str]]:
@@ -215,14 +215,14 @@
             raise NotReady(self.entries[name].tail()) from exc
 
     def _serve(self, app: Any) -> Address:
-        address = self._ports.give()
+        address = self._ports.reserve()
         server = Server(address, app, 30)
         server.start()
         self._servers.append(server)
         return address
 
     def _settings(self, name: str) -> dict[str, Any]:
-        self.addresses[name] = self._ports.give()
+        self.addresses[name] = self._ports.reserve()
         link = Forwarder(self._store_address)
         self.store_links[name] = link
         return {
@@ -230,13 +230,13 @@
             'name': name,
             'zone': 'z',
             'listen': str(self.addresses[name]),
-            'readiness_listen': str(self._ports.give()),
-            'peer_listen': str(self._ports.give()),
-            'metrics_listen': str(self._ports.give()),
+            'readiness_listen': str(self._ports.reserve()),
+            'peer_listen': str(self._ports.reserve()),
+            'metrics_listen': str(self._ports.reserve()),
             'readiness_delay_s': 0.3,
             'drain_timeout_s': 6,
             'policy': self.policy,
-            **self.more,
+            **self.extra_settings,
             'store': {
                 'address': str(link.start()),
                 'timeout_s': 1,
--- a/standins/machines/store.py
+++ b/standins/machines/store.py
@@ -10,7 +10,7 @@
 from cactusridge import wire
 from cactusridge.http.app import App, Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
-from standins.severing import sever
+from standins.close_connection import close_connection
 
 MAX_BODY = 4 << 20
 MS_PER_S = 1000
@@ -41,7 +41,7 @@
         self.oldest = 0
         self.down = False
         # Delay of each response, in seconds.
-        self.slow_s = float(0)
+        self.response_delay_s = float(0)
         self.faults: list[str] = []
         self._changed = Event()
         self.app = App(self._routes(), MAX_BODY, 5)
@@ -52,23 +52,23 @@
 
     def put_bytes(self, place: Place, raw: bytes) -> None:
         """Write a row whose value need not be valid JSON."""
-        self.put_packed(place, base64.b64encode(raw).decode())
+        self.put_encoded(place, base64.b64encode(raw).decode())
 
-    def put_packed(self, place: Place, packed: str | None) -> None:
+    def put_encoded(self, place: Place, encoded: str | None) -> None:
         """Write a row's encoded value; None removes the row."""
-        self._apply([(place, packed)])
+        self._apply([(place, encoded)])
         self._wake_watches()
 
-    def packed(self, place: Place) -> str | None:
+    def encoded(self, place: Place) -> str | None:
         """Return a row's encoded value, or None if the row is absent."""
         stored = self.rows.get(place)
         return None if stored is None else stored.packed
 
     def remove(self, place: Place) -> None:
         """Remove a row."""
-        self.put_packed(place, None)
+        self.put_encoded(place, None)
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the change history, so that every watch has to read all rows."""
         self.oldest = self.ver
         self._wake_watches()
@@ -84,10 +84,10 @@
         message = req.json()
         if self.down:
             return json_reply({}, 503)
-        gevent.sleep(self.slow_s)
+        gevent.sleep(self.response_delay_s)
         fault = self.faults.pop(0) if self.faults else ''
         if fault:
-            sever(req)
+            close_connection(req)
         if fault == 'late':
             gevent.spawn_later(LATE_S, self._apply_late, message)
             return json_reply({}, 503)
@@ -130,7 +130,7 @@
     def _get(self, req: Req) -> Reply:
         if self.down:
             return json_reply({}, 503)
-        gevent.sleep(self.slow_s)
+        gevent.sleep(self.response_delay_s)
         start, end = req.query('from'), req.query('to')
         found = sorted(
             place
--- a/standins/model.py
+++ b/standins/model.py
@@ -26,16 +26,16 @@
 
 
 class Stream:
-    """One request in the engine; ``made`` counts its generated tokens."""
+    """One request in the engine; ``generated_tokens`` counts its tokens."""
 
     def __init__(self, stream_id: str, prompt: str, tokens: int) -> None:
         """Create a stream of ``tokens`` tokens for ``prompt``."""
         self.id = stream_id
         self.prompt = prompt
         self.tokens = tokens
-        self.made = 0
+        self.generated_tokens = 0
         self.out: Queue = Queue()
-        self.gone = Event()
+        self.ended = Event()
 
 
 class ContinuousBatch:
@@ -55,21 +55,21 @@
     def add(self, stream: Stream, resume: bool) -> None:
         """Queue ``stream``; ``resume`` continues after its last token."""
         if resume:
-            stream.made = self.retained.pop(stream.id, 0)
+            stream.generated_tokens = self.retained.pop(stream.id, 0)
         self.waiting.append(stream)
         self._work.set()
 
     def remove(self, stream: Stream) -> None:
         """End ``stream`` and remember its token count for a resumption."""
-        stream.gone.set()
-        self.retained[stream.id] = stream.made
+        stream.ended.set()
+        self.retained[stream.id] = stream.generated_tokens
         if len(self.retained) > MAX_RETAINED:
             self.retained.popitem(last=False)
 
     def crash(self) -> None:
         """Drop all streams and caches, as an engine that crashes does."""
         for stream in (*self.running, *self.waiting):
-            stream.gone.set()
+            stream.ended.set()
         self.running = []
         self.waiting.clear()
         self.prefixes.clear()
@@ -96,14 +96,14 @@
         prefill_s = float(0)
         while self.waiting and len(self.running) < self.speed.slots:
             stream = self.waiting.popleft()
-            if stream.gone.is_set():
+            if stream.ended.is_set():
                 continue
             self.running.append(stream)
             prefill_s += self._prefill(stream)
         return prefill_s
 
     def _prefill(self, stream: Stream) -> float:
-        if stream.made:
+        if stream.generated_tokens:
             return 0
         prefix = stream.prompt[: self.speed.prefix_chars]
         length = len(stream.prompt)
@@ -122,12 +122,14 @@
 
     def _advance(self) -> None:
         self.running = [
-            stream for stream in self.running if not stream.gone.is_set()
+            stream for stream in self.running if not stream.ended.is_set()
         ]
         for stream in self.running:
-            stream.made += 1
+            stream.generated_tokens += 1
             self.generated += 1
-            stream.out.put(stream.made)
+            stream.out.put(stream.generated_tokens)
         self.running = [
-            stream for stream in self.running if stream.made < stream.tokens
+            stream
+            for stream in self.running
+            if stream.generated_tokens < stream.tokens
         ]
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -6,9 +6,9 @@
 
 from cactusridge.http.app import App, route
 from cactusridge.http.exchange import Reply, Req, json_reply
+from standins.close_connection import close_connection
 from standins.fault_control import FaultControl
 from standins.faults import FaultKind, Faults, wait_out
-from standins.severing import sever
 
 MAX_BODY = 1 << 26
 BODY_TIMEOUT_S = 60
@@ -40,7 +40,7 @@
         body = req.body().decode(errors='replace')
         fault = self.faults.take(f'{req.method} {req.path}')
         if fault is not None and fault.kind == FaultKind.cut:
-            sever(req)
+            close_connection(req)
             return json_reply({})
         call = {
             'method': req.method,
@@ -52,7 +52,7 @@
         self.calls.append(call)
         wait_out(fault)
         if fault is not None and fault.kind == FaultKind.lose_answer:
-            sever(req)
+            close_connection(req)
         reply = json_reply(call)
         reply.headers.append(('X-Plain', 'stand-in'))
         return reply
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -13,10 +13,10 @@
 from cactusridge.hashing import hash64
 from cactusridge.http.app import App, route
 from cactusridge.http.exchange import Reply, Req, json_reply
+from standins.close_connection import close_connection
 from standins.fault_control import FaultControl
 from standins.faults import Fault, FaultKind, Faults, wait_out
 from standins.rate import Rate
-from standins.severing import sever
 from standins.table_store import TableStore
 from standins.weights import WeightStore
 
@@ -202,10 +202,10 @@
             fault is not None and fault.kind == FaultKind.garble
         )
         if fault is not None and fault.kind == FaultKind.cut:
-            sever(req)
+            close_connection(req)
             raise StandInDown
         return fault
 
     def _apply_response_fault(self, req: Req, fault: Fault | None) -> None:
         if fault is not None and fault.kind == FaultKind.lose_answer:
-            sever(req)
+            close_connection(req)
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -17,7 +17,7 @@
         """Start without reserved ports."""
         self._reserved: list[socket.socket] = []
 
-    def give(self) -> Address:
+    def reserve(self) -> Address:
         """Reserve a port that the system chooses and return its address."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/standins/waiting.py
+++ b/standins/waiting.py
@@ -11,14 +11,14 @@
     """A process did not start, or a condition was not met in time."""
 
 
-def wait_for(what: str, happened: Any, bound_s: float = WAIT_S) -> Any:
-    """Poll ``happened`` until its result is true, and return the result.
+def wait_for(what: str, condition: Any, bound_s: float = WAIT_S) -> Any:
+    """Poll ``condition`` until its result is true, and return the result.
 
     Raises NotReady with ``what`` after ``bound_s`` seconds.
     """
     deadline = time.monotonic() + bound_s
     while time.monotonic() < deadline:
-        found = happened()
+        found = condition()
         if found:
             return found
         time.sleep(POLL_S)
--- a/tests/crash_case.py
+++ b/tests/crash_case.py
@@ -66,13 +66,13 @@
 
     def crashes(self) -> list[float]:
         """Return the times of all crashes of replicas, in order."""
-        found = (each.crashed for each in self.site.replicas)
+        found = (each.crash_times_s for each in self.site.replicas)
         return sorted(itertools.chain.from_iterable(found))
 
     def forget_crashes(self) -> None:
         """Reset the recorded crashes."""
         for replica in self.site.replicas:
-            replica.crashed.clear()
+            replica.crash_times_s.clear()
 
     def bring_to_crash(self, target: str, body: bytes) -> None:
         """Repeat a request until it has crashed three replicas."""
--- a/tests/discovery_case.py
+++ b/tests/discovery_case.py
@@ -12,7 +12,7 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.platform.discovery import PREFIX, Discovery
 from cactusridge.store.table import Row
-from standins.machines.spoiled import SPOILED
+from standins.machines.corrupt_entries import CORRUPTIONS
 
 BORN = 1_764_720_000_000
 ENTRY = {
@@ -99,7 +99,7 @@
     def spoil(self, replica_id, how):
         """Put an invalid row of a replica into the list and return it."""
         self.version += 1
-        raw = SPOILED[how](ENTRY)
+        raw = CORRUPTIONS[how](ENTRY)
         row = row_of(raw, f'{PREFIX}{replica_id}', self.version)
         self.list.put(row)
         return row
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -114,7 +114,7 @@
         path = '/control/executions'
         found = [
             self.fleet.call(name, path, method='GET')[1]['executions']
-            for name in self.fleet.named('engine')
+            for name in self.fleet.names_of_kind('engine')
         ]
         begun = itertools.chain.from_iterable(found)
         return sum(text in each['prompt'] for each in begun)
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -5,7 +5,7 @@
 from cactusridge.fleet.replica import incarnation_key
 from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
-from standins.machines.spoiled import SPOILED
+from standins.machines.corrupt_entries import CORRUPTIONS
 from tests.discovery_case import BORN, UNTOLD, DiscoveryCase, row_of
 from tests.naive_list import Entry, NaiveList
 
@@ -115,7 +115,7 @@
         if payload is None:
             return Row(key, None, version)
         if not isinstance(payload, Entry):
-            return row_of(SPOILED[payload](UNTOLD), key, version)
+            return row_of(CORRUPTIONS[payload](UNTOLD), key, version)
         fields = {
             **UNTOLD,
             'state': payload.state,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -57,14 +57,14 @@
         self._ports = Ports()
         self.platform = PlatformStandIn(100_000, 100_000)
         self.platform.host_lag_s = 0
-        self.store = serve(self.platform, self.platform, self._ports.give())
+        self.store = serve(self.platform, self.platform, self._ports.reserve())
         self.engines: list[Served] = []
         self.sidecars: list[Served] = []
         self.entries: list[Served] = []
         self.forwarders: list[Forwarder] = []
         self.refusals = Refusals()
         plain = PlainStandIn()
-        self.plain = serve(plain, plain, self._ports.give())
+        self.plain = serve(plain, plain, self._ports.reserve())
         self.hosts: dict[str, dict[str, Any]] = {}
         for _ in range(sidecars):
             self.add_sidecar()
@@ -77,7 +77,7 @@
         """Start an engine and its sidecar, and publish the sidecar."""
         checks = options.pop('checks_fencing', False)
         engine = EngineStandIn('yazman', EngineSpeed(), checks)
-        self.engines.append(serve(engine, engine, self._ports.give()))
+        self.engines.append(serve(engine, engine, self._ports.reserve()))
         return self.start_sidecar(self.engines[-1].address, **options)
 
     def start_sidecar(self, engine: Address, **options: Any) -> Served:
@@ -85,7 +85,7 @@
         to_engine = self.forward(engine)
         plain = self.forward(self.plain.address)
         cfg = SidecarSettings.made_of(
-            listen=str(self._ports.give()),
+            listen=str(self._ports.reserve()),
             zone='a',
             internal_secret=SECRET,
             heartbeat_s=0.1,
@@ -114,7 +114,7 @@
     def add_entry(self, **options: Any) -> Served:
         """Start an entry and publish it in the host list."""
         cfg = EntrySettings.made_of(
-            listen=str(self._ports.give()),
+            listen=str(self._ports.reserve()),
             zone='a',
             internal_secret=SECRET,
             admin_token_sha256=key_digest('admin'),
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -70,7 +70,7 @@
         slow = Fault(FaultKind.slow, '/registers', 1, 0.6)
         self.rig.plain.subject.faults.add(slow)
         link = self.rig.links(self.rig.sidecars[0].address)[0]
-        self.rig.later(0.3, link.cut)
+        self.rig.later(0.3, link.shut_down_connections)
         answer = self.rig.call(self.rig.entries[0], REGISTERS, 'e')
         self.assertEqual(502, answer.status)
         self.assertFalse(answer.body['error']['not_run'])
@@ -86,7 +86,7 @@
         # Open the connections first: only open ones can become silent.
         self.rig.call(self.rig.entries[0], REGISTERS, 'warm')
         for link in links:
-            link.silence()
+            link.stall_connections()
         answer = self.rig.call(self.rig.entries[0], REGISTERS, 'f')
         self.assertEqual(200, answer.status)
         self.assertEqual(1, self.runs('f'))
--- a/tests/test_cells_told.py
+++ b/tests/test_cells_told.py
@@ -44,7 +44,7 @@
         self.ports = Ports()
         self.addCleanup(self.ports.close)
         self.entries = spread(40, 2)
-        address = self.ports.give()
+        address = self.ports.reserve()
         self.me = EntryPlace(str(address), zone_of(0))
         self.entries = tuple(sorted((self.me, *self.entries[1:])))
         self.fleet = FleetView()
@@ -177,7 +177,7 @@
         """
         life = self.incarnation_in(near=True)
         self.cells.local_names()
-        newcomer = self.ports.give()
+        newcomer = self.ports.reserve()
         self.addresses.append(newcomer)
         with self.loads.running(life, WorkKind.online):
             self.assertIn(str(newcomer), {name for name, _ in self.sent})
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -69,12 +69,12 @@
     def cut_links(self) -> None:
         """End open connections."""
         for link in self.rng.sample(self.rig.forwarders, 2):
-            link.cut()
+            link.shut_down_connections()
 
     def silence_links(self) -> None:
         """Let open connections go silent."""
         for link in self.rng.sample(self.rig.forwarders, 2):
-            link.silence()
+            link.stall_connections()
 
     def trouble_store(self) -> None:
         """Let some calls to the store fail."""
--- a/tests/test_crash_sharers.py
+++ b/tests/test_crash_sharers.py
@@ -59,10 +59,10 @@
         No other requests are sent to them.
         """
         for replica in self.site.replicas:
-            replica.cut_after = [1, 1]
+            replica.close_after_events = [1, 1]
         for _ in range(REPEATS):
             self.bring(target, body)
         gevent.sleep(0.3)
         for replica in self.site.replicas:
-            replica.cut_after = []
+            replica.close_after_events = []
         self.assertEqual(200, self.bring(target, body))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -86,7 +86,7 @@
 
         The silence is noticed only after that replica has started.
         """
-        self.site.renames = True
+        self.site.restarts_under_new_id = True
         while len(self.crashes()) < CRASHES:
             self.bring('/on/1', SILENT, deadline_ms=LONG_MS)
         gevent.sleep(CONTACT_S)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,7 +5,7 @@
 from cactusridge import events
 from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
-from standins.machines.spoiled import SPOILED
+from standins.machines.corrupt_entries import CORRUPTIONS
 from tests.discovery_case import BORN, ENTRY, DiscoveryCase
 
 
@@ -18,7 +18,7 @@
         self.put('i-0', ENTRY)
         self.put('i-1', ENTRY)
 
-    @params(*SPOILED)
+    @params(*CORRUPTIONS)
     def test_known_one_leaves_at_once(self, how):
         """An unreadable entry drops its replica at once, also in a grace."""
         self.back()
@@ -27,13 +27,13 @@
         self.put('i-0', ENTRY)
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
 
-    @params(*SPOILED)
+    @params(*CORRUPTIONS)
     def test_unknown_one_does_not_come(self, how):
         """An unreadable entry adds no replica."""
         self.spoil('i-2', how)
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
 
-    @params(*(how for how in SPOILED if how != 'service not named'))
+    @params(*(how for how in CORRUPTIONS if how != 'service not named'))
     def test_logged_once_a_version(self, how):
         """Reading an unreadable entry again logs it only once a version."""
         row = self.spoil('i-0', how)
--- a/tests/test_keys_on_machines.py
+++ b/tests/test_keys_on_machines.py
@@ -61,9 +61,9 @@
     def seen(self, request_id):
         """Return the headers that a replica received, in lower case."""
         found = [
-            each.seen[request_id]
+            each.request_headers[request_id]
             for each in self.site.replicas
-            if request_id in each.seen
+            if request_id in each.request_headers
         ]
         return {name.lower(): text for name, text in found[0].items()}
 
@@ -170,7 +170,7 @@
         for name in self.entries:
             self.site.entries[name].kill()
         self.site.addresses.clear()
-        self.site.more = {'revoke_ms': REVOKE_S * 1000}
+        self.site.extra_settings = {'revoke_ms': REVOKE_S * 1000}
         for name in self.entries:
             self.site.start_entry(name)
 
@@ -178,7 +178,7 @@
         """Disconnect an entry from the store but not from its peers."""
         link = self.site.store_links[name]
         link.refusing = True
-        link.silence()
+        link.stall_connections()
 
     @params(True, False)
     def test_entry_that_is_cut_off(self, alone):
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -21,7 +21,7 @@
 
     def tearDown(self) -> None:
         """Have two entries again."""
-        for number, name in enumerate(self.fleet.named('entry')):
+        for number, name in enumerate(self.fleet.names_of_kind('entry')):
             if self.fleet.processes[name].process.poll() is not None:
                 self.fleet.start_entry(number)
         self.fleet.wait_ready()
@@ -58,7 +58,7 @@
         """Return the entry whose commit met the fault."""
         return next(
             name
-            for name in self.fleet.named('entry')
+            for name in self.fleet.names_of_kind('entry')
             if str(self.fleet.addresses[name]) in hit
         )
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -55,7 +55,7 @@
 
     @params(
         ('deadline', Reason.cut),
-        ('no connection', Reason.nobody),
+        ('no connection', Reason.no_connection),
         ('429', Reason.refused),
         ('502', Reason.failed),
     )
@@ -78,7 +78,7 @@
     def test_late_before_an_entry_saw_it(self):
         """Late for its caller, on time here: it came late."""
         outcome = KindOutcome(ONLINE, 10, 1, 0, 0, 27.5 / 30)
-        self.check(day_of(outcome), [], {Reason.elsewhere: 2.5})
+        self.check(day_of(outcome), [], {Reason.late_first_try: 2.5})
 
     @params((10, Reason.taken_late), (20, Reason.done_late))
     def test_late_batch(self, took_s, reason):
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -91,7 +91,7 @@
         status can still report that the outcome is unknown.
         """
         for replica in self.site.replicas:
-            replica.cut_after = [1]
+            replica.close_after_events = [1]
         call = ('one', 'POST', '/on/', b'2 0.01', sent('cut'))
         self.assertEqual(502, self.site.call(*call)[0])
         self.assertEqual(1, self.runs('cut'))
--- a/tests/test_machine_links.py
+++ b/tests/test_machine_links.py
@@ -41,7 +41,7 @@
         self.wait_done('one', 'j0', 1)
         self.link = self.site.store_links['one']
         self.link.refusing = True
-        self.link.cut()
+        self.link.shut_down_connections()
         wait_for('jobs are rejected at once', self.refused_at_once, LOST_S)
 
     def refused_at_once(self):
@@ -131,7 +131,7 @@
         wait_for('the items run', lambda: self.running() == 4)
         link = self.site.store_links['one']
         link.refusing = True
-        link.cut()
+        link.shut_down_connections()
         ended = self.site.call('two', 'DELETE', '/api/lots/j1')
         self.assertEqual(200, ended[0])
         wait_for('all items stop', lambda: not self.running(), 3)
@@ -154,7 +154,7 @@
     def test_store(self):
         """Jobs are accepted, completed and read over new connections."""
         for link in self.site.store_links.values():
-            link.silence()
+            link.stall_connections()
         wait_for(
             'a job is taken',
             lambda: self.site.submit('one', 'j1', ['3'] * 3) == 202,
@@ -177,7 +177,7 @@
         ]
         gevent.joinall(calls)
         for link in self.site.replica_links:
-            link.silence()
+            link.stall_connections()
 
     @params('/again/', '/safe/')
     def test_kept_connections(self, path):
--- a/tests/test_machine_lives.py
+++ b/tests/test_machine_lives.py
@@ -117,8 +117,8 @@
     def test_left_out(self, how):
         """Its replica gets no requests until the entry is readable again."""
         self.wait_all_reached()
-        self.site.spoil_entry(0, how)
+        self.site.corrupt_entry(0, how)
         self.wait_logged('host_unreadable')
         self.assertEqual({'i-1'}, self.reached())
-        self.site.mend_entry(0)
+        self.site.restore_entry(0)
         self.wait_all_reached()
--- a/tests/test_machine_path.py
+++ b/tests/test_machine_path.py
@@ -41,7 +41,7 @@
         self.assertTrue(headers['X-Response-Signature'].startswith('sig.i-'))
         ran_at = [each for each in self.site.replicas if each.targets][0]
         self.assertEqual(['/on/a%2Fb/?q=%20&q=2'], ran_at.targets)
-        left_ms = int(ran_at.seen['r1']['X-Request-Deadline'])
+        left_ms = int(ran_at.request_headers['r1']['X-Request-Deadline'])
         self.assertTrue(3000 < left_ms <= 4000)
 
     @params(('/again/', 2), ('/on/', 1))
@@ -50,7 +50,7 @@
         # The replicas share the list, so only the first run breaks off.
         breaks = [3]
         for replica in self.site.replicas:
-            replica.cut_after = breaks
+            replica.close_after_events = breaks
         found = None
         with contextlib.suppress(IncompleteRead):
             found = self.site.call(
@@ -72,7 +72,7 @@
     def test_spoiled_answer(self):
         """A response to another request is not passed to the caller."""
         for replica in self.site.replicas:
-            replica.spoil.append('other')
+            replica.wrong_request_ids.append('other')
         status, _, body = self.site.call(
             'one',
             'POST',
@@ -172,7 +172,7 @@
         resumed = [
             headers.get('Last-Event-Id')
             for each in self.site.replicas
-            for headers in each.seen.values()
+            for headers in each.request_headers.values()
         ]
         self.assertTrue(any(resumed))
         outputs = {each['output'] for each in self.site.results('two', 'j3')}
--- a/tests/test_machine_store.py
+++ b/tests/test_machine_store.py
@@ -22,7 +22,7 @@
         self.store = MachineStore()
         ports = Ports()
         self.addCleanup(ports.close)
-        self.address = ports.give()
+        self.address = ports.reserve()
         server = Server(self.address, self.store.app, 30)
         server.start()
         self.addCleanup(server.stop, 0)
--- a/tests/test_many_connections.py
+++ b/tests/test_many_connections.py
@@ -48,10 +48,10 @@
         link = self.rig.links(self.rig.engines[0].address)[0]
         self.rig.leave_only(0)
         self.rig.chat('first')
-        opened = link.opened
+        opened = link.accepted_count
         answers = [self.rig.chat(f'own {n}') for n in range(CALLS)]
         self.assertEqual({200}, {each.status for each in answers}, answers)
-        self.assertEqual(opened, link.opened)
+        self.assertEqual(opened, link.accepted_count)
 
 
 class TestDescriptors(unittest.TestCase):
--- a/tests/test_paired.py
+++ b/tests/test_paired.py
@@ -41,8 +41,8 @@
         self.assertEqual(5, found.pairs)
         self.assertAlmostEqual(0.2, found.before)
         self.assertAlmostEqual(0.02, found.mean)
-        self.assertAlmostEqual(0, found.half)
-        self.assertTrue(found.clear)
+        self.assertAlmostEqual(0, found.half_width)
+        self.assertTrue(found.excludes_zero)
 
     def test_interval(self):
         """Differences of 1, 2 and 3: 2 with 4.3 standard errors."""
@@ -52,8 +52,8 @@
         ]
         found = difference(plays, 'old', 'new', WORTH)
         self.assertAlmostEqual(2, found.mean)
-        self.assertAlmostEqual(4.3 / 3**0.5, found.half)
-        self.assertFalse(found.clear)
+        self.assertAlmostEqual(4.3 / 3**0.5, found.half_width)
+        self.assertFalse(found.excludes_zero)
 
     def test_one_pair_is_none(self):
         """One pair has no interval."""
--- a/tests/test_paused.py
+++ b/tests/test_paused.py
@@ -127,7 +127,7 @@
         self.addCleanup(ports.close)
         self.reading = Event()
         app = App([route('POST', '/', self.read)], CHUNK, 0.2)
-        self.served = serve(None, app, ports.give())
+        self.served = serve(None, app, ports.reserve())
         self.addCleanup(self.served.server.stop, 0)
 
     def read(self, req):
--- a/tests/test_peer_strikes.py
+++ b/tests/test_peer_strikes.py
@@ -54,7 +54,7 @@
         """Start both entries."""
         ports = Ports()
         self.addCleanup(ports.close)
-        addresses = [ports.give() for _ in range(2)]
+        addresses = [ports.reserve() for _ in range(2)]
         self.one = Entry(addresses[0], addresses)
         self.two = Entry(addresses[1], addresses)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -67,7 +67,7 @@
 
     def addresses(self):
         """Return two addresses that no other process uses."""
-        return [self.ports.give() for _ in range(2)]
+        return [self.ports.reserve() for _ in range(2)]
 
     def test_counts_come_and_go(self):
         """A request is counted at the peer while it is in flight."""
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -13,7 +13,7 @@
         """Keep a port."""
         ports = Ports()
         self.addCleanup(ports.close)
-        self.address = ports.give()
+        self.address = ports.reserve()
 
     def test_nobody_else_gets_it(self):
         """What does not reuse addresses cannot have it."""
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -6,7 +6,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from standins.machines.spoiled import SPOILED
+from standins.machines.corrupt_entries import CORRUPTIONS
 from tests import list_play
 from tests.naive_list import Entry
 
@@ -14,7 +14,7 @@
 EXAMPLES = int(os.environ.get('LIST_EXAMPLES', '300'))
 IDS = ('a', 'b', 'c')
 # Spoiled entries that are unreadable regardless of the other entries.
-ALWAYS_UNREADABLE = tuple(set(SPOILED) - {'no born', 'service not named'})
+ALWAYS_UNREADABLE = tuple(set(CORRUPTIONS) - {'no born', 'service not named'})
 
 ids = st.sampled_from(IDS)
 entries = st.builds(
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -51,7 +51,7 @@
         app = App(routes, 1024, 5)
         ports = Ports()
         self.addCleanup(ports.close)
-        self.served = serve(None, app, ports.give())
+        self.served = serve(None, app, ports.reserve())
         self.addCleanup(self.served.server.stop, 0)
         self.clients = Clients(1, 5)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -46,7 +46,7 @@
         """Callers can connect when ``listening`` is called."""
         ports = Ports()
         self.addCleanup(ports.close)
-        address = ports.give()
+        address = ports.reserve()
         cfg = CommonSettings(
             listen=str(address),
             zone='z',
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,7 +11,7 @@
     def silence(self, address: object) -> None:
         """Silence every open connection to an address."""
         for link in self.rig.links(address):
-            link.silence()
+            link.stall_connections()
 
     def test_entry_to_sidecar(self):
         """Online requests go on elsewhere or on a new connection."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,4 +24,4 @@
         self.assertEqual([], record.violations)
         # It was worth its time: requests were served and jobs done.
         self.assertTrue(any(call.status == 200 for call in record.calls))
-        self.assertTrue(any(job.positions for job in record.jobs.values()))
+        self.assertTrue(any(job.listed_results for job in record.jobs.values()))
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -12,7 +12,7 @@
 from cactusridge.http.client import Address
 from soak.checks import DRAIN_BOUND_S, check_at_end
 from soak.list_faults import EntrySpoiled, StrayEntry
-from soak.record import Began, Call, CallEnd, Record, Withheld
+from soak.record import Call, CallEnd, ExclusionInterval, Record, RunStart
 from soak.replica_faults import Leaving, Restart
 from soak.schedule import PLANNED, schedule
 from soak.world import World
@@ -72,7 +72,7 @@
         self.assertNotEqual(self.listed, self.packed())
         fault.end()
         self.assertEqual(self.listed, self.packed())
-        noted = self.world.record.withheld
+        noted = self.world.record.exclusions
         self.assertEqual([self.replica.life], [each.life for each in noted])
 
     def test_twice(self):
@@ -106,7 +106,7 @@
 
     def packed(self):
         """Return the replica's entry as the store answers it."""
-        return self.world.store.packed(self.place)
+        return self.world.store.encoded(self.place)
 
 
 class TestWithheld(unittest.TestCase):
@@ -123,8 +123,10 @@
         record = Record()
         since = time.monotonic()
         until = since + DRAIN_BOUND_S + 5
-        record.withheld.append(Withheld('this', since, until, 'promise'))
-        record.began.append(Began('r', '/on/x', life, since + after_s))
+        record.exclusions.append(
+            ExclusionInterval('this', since, until, 'promise')
+        )
+        record.run_starts.append(RunStart('r', '/on/x', life, since + after_s))
         check_at_end(record)
         self.assertEqual(broken, len(record.violations))
 
--- a/tests/test_stop_serving.py
+++ b/tests/test_stop_serving.py
@@ -65,7 +65,7 @@
         """A late order is rejected by a frame with ``not_run``."""
         ports = Ports()
         self.addCleanup(ports.close)
-        address = ports.give()
+        address = ports.reserve()
         cfg = SidecarSettings.made_of(
             listen=str(address),
             zone='z',
@@ -101,7 +101,7 @@
         """A request served after the stop signal is in the last counts."""
         ports = Ports()
         self.addCleanup(ports.close)
-        address = ports.give()
+        address = ports.reserve()
         cfg = CommonSettings(
             listen=str(address),
             zone='z',
