--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -69,12 +69,12 @@
     def cut_links(self) -> None:
         """Close the open connections of two links."""
         for link in self.rng.sample(self.rig.forwarders, 2):
-            link.cut()
+            link.shut_down_connections()
 
     def silence_links(self) -> None:
         """Make the open connections of two links silent."""
         for link in self.rng.sample(self.rig.forwarders, 2):
-            link.silence()
+            link.stall_connections()
 
     def disturb_store(self) -> None:
         """Make 1 to 14 store calls fail, lose their response or be slow."""
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -61,7 +61,7 @@
         """Return the entry whose commit matched the fault."""
         return next(
             name
-            for name in self.fleet.named('entry')
+            for name in self.fleet.names_of_kind('entry')
             if str(self.fleet.addresses[name]) in hit
         )
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -13,7 +13,7 @@
         """Reserve a port."""
         ports = Ports()
         self.addCleanup(ports.close)
-        self.address = ports.give()
+        self.address = ports.reserve()
 
     def test_nobody_else_gets_it(self):
         """A socket without ``SO_REUSEADDR`` cannot bind a reserved port."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,4 +28,4 @@
         self.assertEqual([], record.violations)
         # A run without served requests or finished items would prove nothing.
         self.assertTrue(any(call.status == 200 for call in record.calls))
-        self.assertTrue(any(job.positions for job in record.jobs.values()))
+        self.assertTrue(any(job.listed_results for job in record.jobs.values()))
