--- a/bench/made_state.py
+++ b/bench/made_state.py
@@ -14,7 +14,7 @@
 from cactusridge.settings.catalog import Service, ServiceCatalog
 from cactusridge.settings.schema import ServiceSettings
 from cactusridge.settings.tree import SettingsTree, Snapshot
-from cactusridge.sidecar.ledger import RunLedger
+from cactusridge.sidecar.ledger import OrderLedger
 from cactusridge.sidecar_dispatch.peer_host import SidecarHost
 from cactusridge.startup.models import SidecarSettings
 from cactusridge.store.host_list import Host, HostState
@@ -132,7 +132,7 @@
     return Submission('t', 'key', body, manifest, service, '', None)
 
 
-def ledger_of(size: int) -> RunLedger:
+def ledger_of(size: int) -> OrderLedger:
     """Return a ledger that remembers that many orders."""
     cfg = SidecarSettings.made_of(
         listen='127.0.0.1:1',
@@ -140,7 +140,7 @@
         internal_secret='x' * 16,
         upstreams=[{'service': SERVICE, 'address': '127.0.0.1:2'}],
     )
-    ledger = RunLedger(cfg, ManualClock())
+    ledger = OrderLedger(cfg, ManualClock())
     for number in range(size):
         ledger.queue(f'r{number:028x}')
     return ledger
--- a/cactusridge/batch/accounts.py
+++ b/cactusridge/batch/accounts.py
@@ -8,7 +8,7 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
 from cactusridge.slo.recorder import SloRecorder
-from cactusridge.slo.window import Quantity
+from cactusridge.slo.window import GoodBadCounts
 from cactusridge.store.object_store import ObjectStore
 
 
@@ -37,8 +37,8 @@
         """Record a committed chunk's items as good, or as bad if late."""
         done = found.ok + found.failed
         late = self._clock.wall() > span.due
-        items = Quantity(0, done) if late else Quantity(done, 0)
-        self._recorder.record_due(span.service, items)
+        items = GoodBadCounts(0, done) if late else GoodBadCounts(done, 0)
+        self._recorder.record_due_items(span.service, items)
 
     def closed(self, span: Span) -> None:
         """Audit a closed span with the configured probability.
@@ -54,4 +54,4 @@
             return
         if items.bad:
             logs.emit(events.ITEM_NOT_ONCE, span=span.name, items=items.bad)
-        self._recorder.record_once(span.service, items)
+        self._recorder.record_exactly_once_items(span.service, items)
--- a/cactusridge/batch/audit.py
+++ b/cactusridge/batch/audit.py
@@ -6,12 +6,12 @@
 
 from cactusridge.batch.span import Span
 from cactusridge.errors import NotFound
-from cactusridge.slo.window import Quantity
+from cactusridge.slo.window import GoodBadCounts
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.table import Priority
 
 
-def audit_span(objects: ObjectStore, span: Span) -> Quantity:
+def audit_span(objects: ObjectStore, span: Span) -> GoodBadCounts:
     """Return how many items of ``span`` have exactly one result.
 
     Compares the custom ids in the input with those in the output objects
@@ -35,7 +35,7 @@
         output_ids[custom_id] != input_ids[custom_id]
         for custom_id in input_ids.keys() | output_ids.keys()
     )
-    return Quantity(len(input_ids) - min(bad, len(input_ids)), bad)
+    return GoodBadCounts(len(input_ids) - min(bad, len(input_ids)), bad)
 
 
 def _stored(objects: ObjectStore, name: str) -> bytes:
--- a/cactusridge/core.py
+++ b/cactusridge/core.py
@@ -85,7 +85,7 @@
     def _tick(self) -> None:
         while True:
             gevent.sleep(TICK_S)
-            self._sidecar.tick()
+            self._sidecar.admit_waiting()
 
 
 def make_role(cfg: CommonSettings, clock: Clock) -> Role:
--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -15,7 +15,7 @@
 from cactusridge.settings.follower import SettingsFollower
 from cactusridge.settings.tree import Change
 from cactusridge.sidecar_dispatch.parts import Parts
-from cactusridge.slo.burn import QUARTER, BurnReporter
+from cactusridge.slo.burn import QUARTER, BurnRateReporter
 from cactusridge.slo.history import SloHistory
 
 MAX_HISTORY_CHANGES = 200
@@ -138,7 +138,7 @@
         if settings is None:
             raise BadRequest(f'no settings exist at {service}', param='service')
         history = SloHistory(self._parts.objects, self._parts.table)
-        report = BurnReporter(history).report(
+        report = BurnRateReporter(history).report(
             service,
             settings.objective,
             self._parts.clock.wall(),
--- a/cactusridge/entry/answering.py
+++ b/cactusridge/entry/answering.py
@@ -8,7 +8,7 @@
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
 from cactusridge.sidecar_dispatch.parts import Parts
-from cactusridge.slo.sample import AnswerTimer
+from cactusridge.slo.sample import ResponseTimer
 
 STRIPPED_HEADERS = frozenset(('content-length', 'connection', 'date'))
 
@@ -17,12 +17,12 @@
     """A response that has started, and the timer that records it."""
 
     attempt: Attempt
-    timer: AnswerTimer
+    timer: ResponseTimer
 
     def whole(self) -> Reply:
         """Read the whole response and return it as a reply with one body."""
         body = self.attempt.whole()
-        self.timer.finished(self.attempt.status)
+        self.timer.record_complete(self.attempt.status)
         headers = response_headers(self.attempt)
         headers.append(('Content-Length', str(len(body))))
         return Reply(self.attempt.status, headers, [body])
@@ -36,7 +36,7 @@
     Raises the error with which the request was refused or failed. Raises
     CallerGone if the caller disconnects before the response starts.
     """
-    timer = AnswerTimer(parts.recorder, dispatch.service, parts.clock)
+    timer = ResponseTimer(parts.recorder, dispatch.service, parts.clock)
 
     def watch_caller() -> None:  # noqa: WPS430
         if req.caller_gone():
@@ -45,7 +45,7 @@
     try:
         attempt = parts.dispatcher.open(dispatch, watch_caller)
     except CactusridgeError as exc:
-        timer.refused(exc)
+        timer.record_error(exc)
         metrics.REFUSALS.inc({'code': exc.code})
         raise
     return StartedResponse(attempt, timer)
--- a/cactusridge/entry/app.py
+++ b/cactusridge/entry/app.py
@@ -23,7 +23,7 @@
 from cactusridge.quarantine.strike_store import StrikeStore
 from cactusridge.settings.follower import SettingsFollower
 from cactusridge.slo.hour_merger import HourMerger, merge_due_hours
-from cactusridge.slo.recorder import seal_s
+from cactusridge.slo.recorder import seal_delay_s
 from cactusridge.startup.models import EntrySettings
 
 MERGE_CHECK_S = 300
@@ -64,7 +64,7 @@
             self.parts.table,
             str(cfg.address),
             self.parts.fleet.entry_names,
-            seal_s(cfg.report_s),
+            seal_delay_s(cfg.report_s),
             clock,
         )
         self.app = self._app()
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -16,7 +16,7 @@
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
 from cactusridge.sidecar_dispatch.parts import Parts
-from cactusridge.slo.sample import AnswerTimer
+from cactusridge.slo.sample import ResponseTimer
 
 OK = 200
 PREFIX_CHARS = 512
@@ -114,22 +114,24 @@
             return Reply(OK, response_headers(attempt), blocks)
         return response.whole()
 
-    def _stream(self, attempt: Attempt, timer: AnswerTimer) -> Iterator[bytes]:
+    def _stream(
+        self, attempt: Attempt, timer: ResponseTimer
+    ) -> Iterator[bytes]:
         """Forward the stream; send an error event if the stream breaks."""
         try:
             for block in attempt.blocks():
-                timer.block(block)
+                timer.record_block(block)
                 yield block
         except CactusridgeError as exc:
-            timer.refused(exc)
+            timer.record_error(exc)
             yield ERROR_EVENT % wire.encode({'error': exc.body()})
             # The connection is closed without the closing chunk, so that
             # no caller takes this response for a complete one.
             raise StreamBroken from exc
         except GeneratorExit:
-            timer.abandoned()
+            timer.record_disconnect()
             raise
-        timer.finished(OK)
+        timer.record_complete(OK)
 
     def _validate_prompt(self, req: Req, message: dict[str, Any]) -> None:
         field = 'messages' if 'chat' in req.path else 'prompt'
--- a/cactusridge/sidecar/app.py
+++ b/cactusridge/sidecar/app.py
@@ -29,9 +29,9 @@
 )
 from cactusridge.settings import schema
 from cactusridge.settings.paths import NodeKind
-from cactusridge.sidecar.fences import FenceRegister
-from cactusridge.sidecar.lane import Lane
-from cactusridge.sidecar.ledger import RunLedger
+from cactusridge.sidecar.fences import FencingRegister
+from cactusridge.sidecar.lane import ManagedUpstream
+from cactusridge.sidecar.ledger import OrderLedger
 from cactusridge.sidecar.run import Run, end_frame, refusal_frame
 from cactusridge.startup.models import SidecarSettings
 
@@ -51,24 +51,24 @@
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.draining = False
         self.settings_version = 0
-        self.lanes = {
-            upstream.service: Lane(upstream, cfg, clock)
+        self.upstreams = {
+            upstream.service: ManagedUpstream(upstream, cfg, clock)
             for upstream in cfg.upstreams
         }
-        self.ledger = RunLedger(cfg, clock)
-        self.fences = FenceRegister()
+        self.ledger = OrderLedger(cfg, clock)
+        self.fences = FencingRegister()
         self.app = App(self._routes(), cfg.max_body_bytes, cfg.body_timeout_s)
 
     def begin_drain(self) -> None:
         """Refuse new orders from now on; running orders continue."""
         self.draining = True
-        for lane in self.lanes.values():
-            lane.draining = True
+        for upstream in self.upstreams.values():
+            upstream.draining = True
 
-    def tick(self) -> None:
+    def admit_waiting(self) -> None:
         """Let every gate admit the waiting orders that its limits now allow."""
-        for lane in self.lanes.values():
-            lane.gate.tick()
+        for upstream in self.upstreams.values():
+            upstream.gate.admit_waiting()
 
     def report(self) -> SidecarReport:
         """Return the load and state of this sidecar, as sent to entries."""
@@ -76,7 +76,10 @@
             incarnation=self.incarnation,
             draining=self.draining,
             settings_version=self.settings_version,
-            services={path: lane.report() for path, lane in self.lanes.items()},
+            services={
+                path: upstream.report()
+                for path, upstream in self.upstreams.items()
+            },
         )
 
     def run(self, req: Req) -> Reply:
@@ -84,10 +87,10 @@
         self._check_secret(req)
         order, body = parse_order(req.body())
         try:
-            lane = self._admit(order)
+            upstream = self._admit(order)
         except CactusridgeError as exc:
             return _frames_reply(self._refusal(exc, order.id))
-        run = Run(order, body, lane, self.ledger, self.report)
+        run = Run(order, body, upstream, self.ledger, self.report)
         return _frames_reply(run.frames(self.cfg.heartbeat_s))
 
     def probe(self, req: Req) -> Reply:
@@ -130,14 +133,14 @@
             raise Draining
         return json_reply({'status': 'ready'})
 
-    def _admit(self, order: RunOrder) -> Lane:
-        """Record ``order`` in the ledger and return its upstream's lane.
+    def _admit(self, order: RunOrder) -> ManagedUpstream:
+        """Record ``order`` in the ledger and return its upstream.
 
         Raises NotFound for an unknown service, Draining, StaleOrder for
         another incarnation, an outdated fencing number or a repeated id,
         and Tombstoned.
         """
-        lane = self._lane(order.service)
+        upstream = self._upstream_of(order.service)
         if self.draining:
             raise Draining
         if order.incarnation != self.incarnation:
@@ -145,7 +148,7 @@
         if order.work == WorkClass.batch:
             self.fences.check(order.fence)
         self.ledger.queue(order.id)
-        return lane
+        return upstream
 
     def _refusal(self, exc: CactusridgeError, order_id: str) -> Iterator[bytes]:
         """Yield the frames of a refusal, which always include the report."""
@@ -154,9 +157,9 @@
 
     def _apply(self, push: SettingsPush) -> None:
         for path, raw in push.services.items():
-            lane = self.lanes.get(path)
-            if lane is not None:
-                lane.configure(schema.validate(NodeKind.service, raw))
+            upstream = self.upstreams.get(path)
+            if upstream is not None:
+                upstream.configure(schema.validate(NodeKind.service, raw))
         self.settings_version = push.version
         metrics.SETTINGS_VERSION.set({}, push.version)
         logs.emit(events.SETTINGS_APPLIED, version=push.version)
@@ -172,11 +175,11 @@
             route('GET', '/metrics', metrics.serve),
         ]
 
-    def _lane(self, service: str) -> Lane:
-        lane = self.lanes.get(service)
-        if lane is None:
+    def _upstream_of(self, service: str) -> ManagedUpstream:
+        upstream = self.upstreams.get(service)
+        if upstream is None:
             raise NotFound(f'this host has no upstream of service {service}')
-        return lane
+        return upstream
 
     def _check_secret(self, req: Req) -> None:
         check_secret(req, self.cfg.internal_secret)
--- a/cactusridge/sidecar/controllers.py
+++ b/cactusridge/sidecar/controllers.py
@@ -26,11 +26,11 @@
     """Sets how many batch requests may run at an upstream at once."""
 
     @abc.abstractmethod
-    def first_token(self, seconds: float) -> None:
+    def observe_first_token(self, seconds: float) -> None:
         """Record an online request's time to first token, in seconds."""
 
     @abc.abstractmethod
-    def between_tokens(self, seconds: float) -> None:
+    def observe_token_gap(self, seconds: float) -> None:
         """Record an online request's time between tokens, in seconds."""
 
     @abc.abstractmethod
@@ -38,7 +38,7 @@
         """Return how many batch requests may run alongside ``load``."""
 
 
-class FillController(BatchController):
+class FillSlotsController(BatchController):
     """Baseline policy that lets batch requests use every free slot.
 
     It ignores the latency of online requests.
@@ -48,10 +48,10 @@
         """Allow up to ``slots`` requests in total."""
         self._slots = slots
 
-    def first_token(self, seconds: float) -> None:
+    def observe_first_token(self, seconds: float) -> None:
         """Ignore the observation."""
 
-    def between_tokens(self, seconds: float) -> None:
+    def observe_token_gap(self, seconds: float) -> None:
         """Ignore the observation."""
 
     def limit(self, load: OnlineLoad) -> int:
@@ -87,11 +87,11 @@
         self._adjusted_at = clock.monotonic()
         self._peaks: deque[tuple[float, int]] = deque()
 
-    def first_token(self, seconds: float) -> None:
+    def observe_first_token(self, seconds: float) -> None:
         """Record an online request's time to first token, in seconds."""
         self._objective_shares.append(seconds / self._objective.first_token_s)
 
-    def between_tokens(self, seconds: float) -> None:
+    def observe_token_gap(self, seconds: float) -> None:
         """Record an online request's time between tokens, in seconds."""
         self._objective_shares.append(
             seconds / self._objective.between_tokens_s
--- a/cactusridge/sidecar/drain_rate.py
+++ b/cactusridge/sidecar/drain_rate.py
@@ -20,7 +20,7 @@
         self._interval_s = float(0)
         self._had_waiters = False
 
-    def released(self, waiting: bool) -> None:
+    def record_release(self, waiting: bool) -> None:
         """Record that a slot was released.
 
         ``waiting`` is whether requests are still queued at this moment.
@@ -31,7 +31,7 @@
         self._last = now
         self._had_waiters = waiting
 
-    def wait_s(self, ahead: int) -> float:
+    def expected_wait_s(self, ahead: int) -> float:
         """Return the expected seconds until ``ahead`` slots are released."""
         return self._interval_s * ahead
 
--- a/cactusridge/sidecar/fences.py
+++ b/cactusridge/sidecar/fences.py
@@ -9,7 +9,7 @@
 MAX_RESOURCES = 100_000
 
 
-class FenceRegister:
+class FencingRegister:
     """Keeps the highest fencing number received for each resource.
 
     Beyond ``MAX_RESOURCES`` the least recently used resource is evicted.
--- a/cactusridge/sidecar/gate.py
+++ b/cactusridge/sidecar/gate.py
@@ -17,7 +17,7 @@
 MIN_RETRY_S = 0.5
 
 
-class Ticket:
+class AdmissionTicket:
     """A slot at the upstream that an order holds or waits for."""
 
     def __init__(self, order: RunOrder) -> None:
@@ -32,7 +32,7 @@
         return self.order.work
 
 
-class Gate:
+class AdmissionGate:
     """Grants the slots of one upstream to online and batch orders.
 
     When online orders need slots, running batch orders that may be
@@ -55,18 +55,18 @@
         self.controller = controller
         self.token_s = float(0)
         self._drain_rate = DrainRate(clock)
-        self._running: list[Ticket] = []
+        self._running: list[AdmissionTicket] = []
         self._online: FairQueue = FairQueue()
         self._batch: FairQueue = FairQueue()
         self._counts: Counter[WorkClass] = Counter()
 
-    def enter(self, order: RunOrder) -> Ticket:
+    def acquire(self, order: RunOrder) -> AdmissionTicket:
         """Wait for a slot and return the ticket that holds it.
 
         Raises Overloaded at once if the queue is full or the expected wait
         exceeds the deadline, and later if the deadline passes in the queue.
         """
-        ticket = Ticket(order)
+        ticket = AdmissionTicket(order)
         if order.work == WorkClass.online:
             self._check_online(order)
             self._online.push(order.team, order.share, 0, ticket)
@@ -77,27 +77,27 @@
         self._wait(ticket)
         return ticket
 
-    def requeue(self, ticket: Ticket) -> Ticket:
+    def requeue(self, ticket: AdmissionTicket) -> AdmissionTicket:
         """Wait for a slot again after a preemption; return the new ticket.
 
         The order keeps its slack, so that it stays ahead of orders of its
         team with more slack. The limit on the queue length is not applied.
         """
-        requeued = Ticket(ticket.order)
+        requeued = AdmissionTicket(ticket.order)
         self._push_batch(requeued)
         self._dispatch()
         self._wait(requeued)
         return requeued
 
-    def leave(self, ticket: Ticket) -> None:
+    def release(self, ticket: AdmissionTicket) -> None:
         """Release the slot of ``ticket`` and admit waiting orders."""
         self._running.remove(ticket)
         self._counts[ticket.work] -= 1
         if ticket.work == WorkClass.online:
-            self._drain_rate.released(waiting=len(self._online) > 0)
+            self._drain_rate.record_release(waiting=len(self._online) > 0)
         self._dispatch()
 
-    def tick(self) -> None:
+    def admit_waiting(self) -> None:
         """Admit waiting orders; the controller's limit changes over time."""
         self._dispatch()
 
@@ -110,11 +110,11 @@
             batch_waiting=len(self._batch),
             online_limit=self.online_limit.current(),
             batch_limit=self.controller.limit(self._load()),
-            wait_s=self._drain_rate.wait_s(len(self._online)),
+            wait_s=self._drain_rate.expected_wait_s(len(self._online)),
             token_s=self.token_s,
         )
 
-    def _wait(self, ticket: Ticket) -> None:
+    def _wait(self, ticket: AdmissionTicket) -> None:
         order = ticket.order
         try:
             granted = ticket.granted.wait(order.deadline_s)
@@ -128,13 +128,13 @@
                 retry_after_s=self._retry_after(),
             )
 
-    def _withdraw(self, ticket: Ticket) -> None:
+    def _withdraw(self, ticket: AdmissionTicket) -> None:
         if self._online.discard(ticket) or self._batch.discard(ticket):
             return
         if ticket in self._running:
-            self.leave(ticket)
+            self.release(ticket)
 
-    def _push_batch(self, ticket: Ticket) -> None:
+    def _push_batch(self, ticket: AdmissionTicket) -> None:
         order = ticket.order
         self._batch.push(order.team, order.share, order.slack_s, ticket)
 
@@ -143,7 +143,7 @@
         waiting = len(self._online)
         if free > waiting:
             return
-        expected_s = self._drain_rate.wait_s(waiting - free + 1)
+        expected_s = self._drain_rate.expected_wait_s(waiting - free + 1)
         if expected_s > order.deadline_s or waiting >= self.cfg.max_waiting:
             raise Overloaded(
                 f'the expected wait is {expected_s:.2f} s',
@@ -158,7 +158,7 @@
             )
 
     def _retry_after(self) -> float:
-        expected_s = self._drain_rate.wait_s(len(self._online) + 1)
+        expected_s = self._drain_rate.expected_wait_s(len(self._online) + 1)
         return max(MIN_RETRY_S, expected_s)
 
     def _load(self) -> OnlineLoad:
@@ -191,7 +191,7 @@
         head = self._batch.peek()
         return head is not None and head.order.solo
 
-    def _grant_ticket(self, ticket: Ticket) -> None:
+    def _grant_ticket(self, ticket: AdmissionTicket) -> None:
         self._running.append(ticket)
         self._counts[ticket.work] += 1
         ticket.granted.set()
--- a/cactusridge/sidecar/lane.py
+++ b/cactusridge/sidecar/lane.py
@@ -5,10 +5,10 @@
 from cactusridge.settings.schema import ServiceSettings
 from cactusridge.sidecar.controllers import (
     BatchController,
-    FillController,
+    FillSlotsController,
     ObjectiveController,
 )
-from cactusridge.sidecar.gate import Gate
+from cactusridge.sidecar.gate import AdmissionGate
 from cactusridge.sidecar.limits import (
     ConcurrencyLimit,
     FixedLimit,
@@ -21,7 +21,7 @@
 SMOOTHING_FACTOR = 0.05
 
 
-class Lane:
+class ManagedUpstream:
     """The client, the gate and the limits of one upstream."""
 
     def __init__(
@@ -33,10 +33,10 @@
         """Use the default objective until the service settings arrive."""
         self.cfg = cfg
         self.draining = False
-        self.upstream = Upstream(cfg, host_cfg)
+        self.client = Upstream(cfg, host_cfg)
         self._clock = clock
         self._policy = host_cfg.policy
-        self.gate = Gate(
+        self.gate = AdmissionGate(
             cfg,
             self._limit(ServiceSettings()),
             self._controller(ServiceSettings()),
@@ -57,9 +57,9 @@
         if first_s is not None and first_s == gap_s:
             running = self.gate.report()['online_running']
             self.gate.online_limit.observe(first_s, running)
-            self.gate.controller.first_token(first_s)
+            self.gate.controller.observe_first_token(first_s)
             return
-        self.gate.controller.between_tokens(gap_s)
+        self.gate.controller.observe_token_gap(gap_s)
         smoothed = self.gate.token_s or gap_s
         self.gate.token_s = smoothed + (gap_s - smoothed) * SMOOTHING_FACTOR
 
@@ -78,7 +78,7 @@
 
     def _controller(self, settings: ServiceSettings) -> BatchController:
         if self._policy.batch == 'fill':
-            return FillController(self.cfg.slots)
+            return FillSlotsController(self.cfg.slots)
         return ObjectiveController(
             self.cfg.slots,
             settings.objective,
--- a/cactusridge/sidecar/ledger.py
+++ b/cactusridge/sidecar/ledger.py
@@ -17,7 +17,7 @@
     tombstoned = 'tombstoned'
 
 
-class RunLedger:
+class OrderLedger:
     """Keeps the state of recent orders.
 
     The ledger refuses a repeated order, and it can confirm that an order
--- a/cactusridge/sidecar/run.py
+++ b/cactusridge/sidecar/run.py
@@ -16,9 +16,9 @@
 from cactusridge.http import frames
 from cactusridge.http.frames import FrameHead, FrameKind
 from cactusridge.orders import RunOrder, SidecarReport, WorkClass
-from cactusridge.sidecar.gate import Ticket
-from cactusridge.sidecar.lane import Lane
-from cactusridge.sidecar.ledger import RunLedger
+from cactusridge.sidecar.gate import AdmissionTicket
+from cactusridge.sidecar.lane import ManagedUpstream
+from cactusridge.sidecar.ledger import OrderLedger
 from cactusridge.sidecar.stopwatch import Stopwatch
 from cactusridge.sidecar.upstream import Answer, is_failure
 
@@ -33,17 +33,17 @@
         self,
         order: RunOrder,
         body: bytes,
-        lane: Lane,
-        ledger: RunLedger,
+        upstream: ManagedUpstream,
+        ledger: OrderLedger,
         report: Callable[[], SidecarReport],
     ) -> None:
-        """Prepare to run ``order``, which ``ledger`` already has, on ``lane``.
+        """Prepare to run ``order``, already in ``ledger``, on ``upstream``.
 
         The end frame carries the sidecar's ``report`` if the order wants it.
         """
         self.order = order
         self.body = body
-        self._lane = lane
+        self._upstream = upstream
         self._ledger = ledger
         self._report = report
         self._out: Queue = Queue(QUEUE_DEPTH)
@@ -86,38 +86,40 @@
         if self.order.work == WorkClass.batch:
             self._run_batch()
             return
-        ticket = self._lane.gate.enter(self.order)
+        ticket = self._upstream.gate.acquire(self.order)
         limit = gevent.Timeout(self.order.deadline_s, DeadlineExceeded())
         try:
             with limit:
                 self._start()
                 self._forward(self._call(resume=False))
         finally:
-            self._lane.gate.leave(ticket)
+            self._upstream.gate.release(ticket)
 
     def _run_batch(self) -> None:
         """Run a batch order; after a preemption, wait for a slot and resume.
 
         An order that is preempted while the sidecar drains is refused.
         """
-        ticket = self._lane.gate.enter(self.order)
+        ticket = self._upstream.gate.acquire(self.order)
         resume = False
         while True:
             try:
                 self._start()
                 parts = self._attempt(ticket, resume)
             finally:
-                self._lane.gate.leave(ticket)
+                self._upstream.gate.release(ticket)
             if parts is not None:
                 break
             resume = True
-            if self._lane.draining:
+            if self._upstream.draining:
                 raise self._preempted_error()
-            ticket = self._lane.gate.requeue(ticket)
+            ticket = self._upstream.gate.requeue(ticket)
         for part in parts:
             self._out.put(part)
 
-    def _attempt(self, ticket: Ticket, resume: bool) -> list[bytes] | None:
+    def _attempt(
+        self, ticket: AdmissionTicket, resume: bool
+    ) -> list[bytes] | None:
         """Return the frames of a response, or None if preempted.
 
         Raises DeadlineExceeded after ``deadline_s`` seconds.
@@ -135,9 +137,9 @@
             if not call.ready():
                 call.kill()
         if not ticket.preempt_requested.is_set():
-            self._lane.upstream.cancel(self.order, keep=False)
+            self._upstream.client.cancel(self.order, keep=False)
             raise DeadlineExceeded
-        self._lane.upstream.cancel(self.order, keep=True)
+        self._upstream.client.cancel(self.order, keep=True)
         return None
 
     def _collect(self, resume: bool) -> list[bytes] | CactusridgeError:
@@ -152,7 +154,7 @@
     def _call(self, resume: bool) -> Answer:
         watch = Stopwatch()
         try:
-            answer = self._lane.upstream.call(self.order, self.body, resume)
+            answer = self._upstream.client.call(self.order, self.body, resume)
         except CactusridgeError as exc:
             self._log_failure(exc)
             raise
@@ -163,7 +165,7 @@
             for block in answer.body:
                 gap_s = watch.record_token()
                 if self.order.streamed:
-                    self._lane.observe(watch, gap_s)
+                    self._upstream.observe(watch, gap_s)
                 yield block
         except CactusridgeError as exc:
             self._log_failure(exc)
@@ -178,10 +180,10 @@
             whole = True
         finally:
             if not whole:
-                self._lane.upstream.cancel(self.order, keep=False)
+                self._upstream.client.cancel(self.order, keep=False)
 
     def _start(self) -> None:
-        if self._lane.draining and not self._started:
+        if self._upstream.draining and not self._started:
             raise Draining
         if not self._started:
             self._ledger.start(self.order.id)
--- a/cactusridge/slo/burn.py
+++ b/cactusridge/slo/burn.py
@@ -42,7 +42,7 @@
     return WINDOWS[: names.index(longest) + 1]
 
 
-class BurnReporter:
+class BurnRateReporter:
     """Reads the stored periods and builds burn reports from them."""
 
     def __init__(self, history: SloHistory) -> None:
--- a/cactusridge/slo/burn_watch.py
+++ b/cactusridge/slo/burn_watch.py
@@ -36,7 +36,7 @@
     measures: Measures
 
 
-class BurnWatch:
+class BurnRateMonitor:
     """Tracks the burn rates of each service from this entry's counts.
 
     The load balancer spreads callers over all entries, so each entry sees a
@@ -118,6 +118,6 @@
     for kind, measured in chain.from_iterable(part.items() for part in parts):
         known = summed.get(kind, Measure(measured.target, NO_COUNTS))
         summed[kind] = measured._replace(
-            counted=known.counted.plus(measured.counted),
+            counted=known.counted.add(measured.counted),
         )
     return summed
--- a/cactusridge/slo/hour_merger.py
+++ b/cactusridge/slo/hour_merger.py
@@ -66,7 +66,7 @@
         # Each hour that starts before this time is merged or has no periods.
         self._merged_before = 0
 
-    def step(self) -> int | None:
+    def merge_next_due(self) -> int | None:
         """Merge the oldest hour that is due at this entry.
 
         Returns the start of the hour in Unix seconds, or None if no hour is
@@ -137,7 +137,7 @@
     If the store is unavailable, the remaining hours are left to a later call.
     """
     try:
-        for _ in iter(merger.step, None):
+        for _ in iter(merger.merge_next_due, None):
             gevent.sleep(0)
     except StoreUnavailable as exc:
         logs.emit(events.REPORT_LATE, error=str(exc))
--- a/cactusridge/slo/objectives.py
+++ b/cactusridge/slo/objectives.py
@@ -5,7 +5,7 @@
 from cactusridge.settings.schema import ObjectiveSettings
 from cactusridge.slo.window import (
     NO_COUNTS,
-    Quantity,
+    GoodBadCounts,
     ServiceWindow,
     split_at,
 )
@@ -20,7 +20,7 @@
     """The target share of an objective and its good and bad counts."""
 
     target: float
-    counted: Quantity
+    counted: GoodBadCounts
 
     def burn(self) -> float:
         """Return the burn rate.
@@ -47,7 +47,7 @@
     return {
         'availability': Measure(
             objective.availability,
-            Quantity(window.good, window.bad),
+            GoodBadCounts(window.good, window.bad),
         ),
         'first_token': Measure(objective.latency_share, first),
         'between_tokens': Measure(objective.latency_share, between),
--- a/cactusridge/slo/recorder.py
+++ b/cactusridge/slo/recorder.py
@@ -7,9 +7,9 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
-from cactusridge.slo.burn_watch import BurnWatch
+from cactusridge.slo.burn_watch import BurnRateMonitor
 from cactusridge.slo.period import Period, Run, encode_period, period_name
-from cactusridge.slo.window import Quantity, ServiceWindow
+from cactusridge.slo.window import GoodBadCounts, ServiceWindow
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.table import Priority
 
@@ -23,7 +23,7 @@
     return max(MIN_RETENTION_S, MIN_RETENTION_PERIODS * period_s)
 
 
-def seal_s(period_s: float) -> float:
+def seal_delay_s(period_s: float) -> float:
     """Return the seconds after which a period can no longer be stored."""
     return retention_s(period_s) + GRACE_PERIODS * period_s
 
@@ -51,7 +51,7 @@
         objects: ObjectStore,
         period_s: float,
         clock: Clock,
-        watch: BurnWatch | None = None,
+        watch: BurnRateMonitor | None = None,
     ) -> None:
         """Store the periods of ``entry`` in ``objects``.
 
@@ -77,11 +77,13 @@
             sample.between_s,
         )
 
-    def record_due(self, service: str, items: Quantity) -> None:
+    def record_due_items(self, service: str, items: GoodBadCounts) -> None:
         """Count batch items: good if done by their due time, else bad."""
         self._window(service).count('due_met', items)
 
-    def record_once(self, service: str, items: Quantity) -> None:
+    def record_exactly_once_items(
+        self, service: str, items: GoodBadCounts
+    ) -> None:
         """Count audited batch items: good with exactly one result, else bad."""
         self._window(service).count('exactly_once', items)
 
--- a/cactusridge/slo/sample.py
+++ b/cactusridge/slo/sample.py
@@ -13,7 +13,7 @@
 TOO_MANY = 429
 
 
-class Sample(NamedTuple):
+class ResponseSample(NamedTuple):
     """One response: its outcome and its latencies in seconds.
 
     ``first_s`` is the time to the first byte, ``between_s`` the mean time
@@ -25,7 +25,7 @@
     between_s: float | None = None
 
 
-class AnswerTimer:
+class ResponseTimer:
     """Measures one response and records it in the SLO counts."""
 
     def __init__(
@@ -43,7 +43,7 @@
         self._last = self._started_at
         self._tokens = 0
 
-    def block(self, block: bytes) -> None:
+    def record_block(self, block: bytes) -> None:
         """Record the arrival of a block of a streamed response."""
         now = self._clock.monotonic()
         if self._first is None:
@@ -53,26 +53,26 @@
         self._last = now
         self._tokens += block.count(EVENT_MARK)
 
-    def finished(self, status: int) -> None:
+    def record_complete(self, status: int) -> None:
         """Record a response that was sent completely."""
         good = status < SERVER_FAULT and status != TOO_MANY
         self._record('answered', good)
 
-    def refused(self, exc: CactusridgeError) -> None:
+    def record_error(self, exc: CactusridgeError) -> None:
         """Record a request that was answered with the error ``exc``."""
         if isinstance(exc, CallerGone):
-            self.abandoned()
+            self.record_disconnect()
             return
         good = exc.status < SERVER_FAULT and exc.status != TOO_MANY
         self._record(exc.code, good)
 
-    def abandoned(self) -> None:
+    def record_disconnect(self) -> None:
         """Count a request whose caller disconnected as neither good nor bad."""
         self._count('abandoned')
 
     def _record(self, outcome: str, good: bool) -> None:
         self._count(outcome)
-        sample = Sample(good, self._first, self._between())
+        sample = ResponseSample(good, self._first, self._between())
         self._recorder.record(self._service.path, sample)
 
     def _between(self) -> float | None:
--- a/cactusridge/slo/window.py
+++ b/cactusridge/slo/window.py
@@ -23,18 +23,18 @@
     batch: NotRequired[dict[str, list[int]]]
 
 
-class Quantity(NamedTuple):
+class GoodBadCounts(NamedTuple):
     """Numbers of good and bad events."""
 
     good: int
     bad: int
 
-    def plus(self, other: 'Quantity') -> 'Quantity':
+    def add(self, other: 'GoodBadCounts') -> 'GoodBadCounts':
         """Return the sums of both counts with those of ``other``."""
-        return Quantity(self.good + other.good, self.bad + other.bad)
+        return GoodBadCounts(self.good + other.good, self.bad + other.bad)
 
 
-NO_COUNTS = Quantity(0, 0)
+NO_COUNTS = GoodBadCounts(0, 0)
 
 
 class ServiceWindow:
@@ -52,7 +52,7 @@
         self.bad = 0
         self.first = new_histogram()
         self.between = new_histogram()
-        self.batch: dict[str, Quantity] = {}
+        self.batch: dict[str, GoodBadCounts] = {}
 
     def add(
         self,
@@ -68,10 +68,10 @@
         if between_s is not None:
             self.between.record_value(to_microseconds(between_s))
 
-    def count(self, objective: str, items: Quantity) -> None:
+    def count(self, objective: str, items: GoodBadCounts) -> None:
         """Add good and bad batch items to the counts of ``objective``."""
         known = self.batch.get(objective, NO_COUNTS)
-        self.batch[objective] = known.plus(items)
+        self.batch[objective] = known.add(items)
 
     def merge(self, other: 'ServiceWindow') -> None:
         """Add the counts of ``other``."""
@@ -101,7 +101,7 @@
         window.first.decode_and_add(stored['first'].encode())
         window.between.decode_and_add(stored['between'].encode())
         for objective, items in stored.get('batch', {}).items():
-            window.count(objective, Quantity(*items))
+            window.count(objective, GoodBadCounts(*items))
         return window
 
 
@@ -116,14 +116,14 @@
     return max(MIN_US, min(MAX_US, wanted))
 
 
-def split_at(histogram: HdrHistogram, limit_s: float) -> Quantity:
+def split_at(histogram: HdrHistogram, limit_s: float) -> GoodBadCounts:
     """Return the counts of ``histogram`` up to ``limit_s`` and above it.
 
     ``limit_s`` is in seconds. A bucket that contains the limit counts as good.
     """
     total = histogram.get_total_count()
     if not total:
-        return Quantity(0, 0)
+        return GoodBadCounts(0, 0)
     limit = to_microseconds(limit_s)
     under = sum(
         recorded.count_added_in_this_iter_step
@@ -133,4 +133,4 @@
         )
         <= limit
     )
-    return Quantity(under, total - under)
+    return GoodBadCounts(under, total - under)
--- a/tests/quarter.py
+++ b/tests/quarter.py
@@ -5,10 +5,10 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.settings.schema import ObjectiveSettings
-from cactusridge.slo.burn import BurnReporter
+from cactusridge.slo.burn import BurnRateReporter
 from cactusridge.slo.history import SloHistory
 from cactusridge.slo.recorder import SloRecorder
-from cactusridge.slo.sample import Sample
+from cactusridge.slo.sample import ResponseSample
 from standins.memory_table import MemoryTable
 from tests.memory_objects import MemoryObjects
 
@@ -42,7 +42,7 @@
         self.clock = ManualClock(START)
         self.objects = MemoryObjects()
         self.table = MemoryTable()
-        self.events: list[tuple[float, Sample]] = []
+        self.events: list[tuple[float, ResponseSample]] = []
         recorders = [
             SloRecorder(f'e{n}', self.objects, PERIOD_S, self.clock)
             for n in range(2)
@@ -58,7 +58,7 @@
     def hour(self, recorder: SloRecorder, rng: random.Random) -> None:
         """Record the random samples of one hour at one entry."""
         for _ in range(rng.randrange(6)):
-            sample = Sample(
+            sample = ResponseSample(
                 rng.randrange(10) > 0,
                 avoid_limit(OBJECTIVE.first_token_s, rng.expovariate(8)),
                 avoid_limit(OBJECTIVE.between_tokens_s, rng.expovariate(60)),
@@ -68,7 +68,7 @@
 
     def report(self) -> dict:
         """Return the burn report at the current time of the clock."""
-        reporter = BurnReporter(SloHistory(self.objects, self.table))
+        reporter = BurnRateReporter(SloHistory(self.objects, self.table))
         return reporter.report(SERVICE, OBJECTIVE, self.clock.wall())
 
     def expected_burn(self, length_s: float) -> dict[str, float]:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -8,7 +8,7 @@
 from cactusridge.batch.audit import audit_span
 from cactusridge.batch.span import Span
 from cactusridge.clock import ManualClock
-from cactusridge.slo.window import Quantity
+from cactusridge.slo.window import GoodBadCounts
 from standins.local_fleet import YAZMAN
 from tests.rig_case import RigCase
 
@@ -115,7 +115,9 @@
         self.accounts(ManualClock()).closed(span)
         found = self.report()['exactly_once']
         self.assertGreater(found['bad'], 0)
-        self.parts.recorder.record_once(YAZMAN, Quantity(1, 0))
+        self.parts.recorder.record_exactly_once_items(
+            YAZMAN, GoodBadCounts(1, 0)
+        )
         path = f'/admin/burn?service={YAZMAN}'
         self.parts.recorder.flush()
         answer = self.rig.call(self.rig.entries[0], path, method='GET')
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from cactusridge.clock import ManualClock
 from cactusridge.settings.schema import ObjectiveSettings
 from cactusridge.sidecar.controllers import (
-    FillController,
+    FillSlotsController,
     ObjectiveController,
     OnlineLoad,
 )
@@ -64,7 +64,7 @@
     def setUp(self):
         """Create controllers for an idle engine."""
         self.clock = ManualClock()
-        self.baseline = FillController(SLOTS)
+        self.baseline = FillSlotsController(SLOTS)
         self.controller = ObjectiveController(
             SLOTS,
             OBJECTIVE,
@@ -98,7 +98,7 @@
     def test_times_between_tokens(self, gap_s, expected):
         """The limit drops to 1 at a slow token rate and recovers after it."""
         for _ in range(20):
-            self.controller.between_tokens(gap_s)
+            self.controller.observe_token_gap(gap_s)
             found = self.after(TICK_S)
         self.assertEqual(expected, found)
         for _ in range(10):
@@ -178,17 +178,17 @@
         """Release slots while requests wait, one every 50 ms."""
         for _ in range(releases):
             self.clock.advance(0.05)
-            self.rate.released(waiting=True)
+            self.rate.record_release(waiting=True)
 
     def test_steady(self):
         """The wait for 20 slots is 1 s."""
-        self.assertAlmostEqual(1, self.rate.wait_s(20), places=2)
+        self.assertAlmostEqual(1, self.rate.expected_wait_s(20), places=2)
 
     def test_idle_time_is_ignored(self):
         """An idle minute before a burst does not change the expected wait."""
         self.clock.advance(0.05)
-        self.rate.released(waiting=False)
+        self.rate.record_release(waiting=False)
         self.clock.advance(60)
-        self.rate.released(waiting=False)
+        self.rate.record_release(waiting=False)
         self.work(1)
-        self.assertAlmostEqual(1, self.rate.wait_s(20), places=2)
+        self.assertAlmostEqual(1, self.rate.expected_wait_s(20), places=2)
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -7,11 +7,11 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.slo.burn import DAY_S, WINDOWS, BurnReporter
+from cactusridge.slo.burn import DAY_S, WINDOWS, BurnRateReporter
 from cactusridge.slo.history import SloHistory
 from cactusridge.slo.period import find_gaps
 from cactusridge.slo.recorder import SloRecorder
-from cactusridge.slo.sample import Sample
+from cactusridge.slo.sample import ResponseSample
 from standins.memory_table import MemoryTable
 from tests.memory_objects import MemoryObjects
 from tests.quarter import OBJECTIVE, PERIOD_S, SERVICE, START, Quarter
@@ -57,7 +57,7 @@
             recorder.flush(last=number == 2)
         objects.stored.pop(sorted(objects.stored)[1])
         clock.advance(DAY_S)
-        reporter = BurnReporter(SloHistory(objects, MemoryTable()))
+        reporter = BurnRateReporter(SloHistory(objects, MemoryTable()))
         burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
         self.assertEqual(
             [{'entry': 'e', 'after': START + PERIOD_S, 'serial': 1}],
@@ -71,10 +71,10 @@
         recorder = SloRecorder('e', objects, PERIOD_S, clock)
         for number in range(5):
             objects.down = number < 4
-            recorder.record(SERVICE, Sample(True, 0.1, 0.01))
+            recorder.record(SERVICE, ResponseSample(True, 0.1, 0.01))
             clock.advance(PERIOD_S)
             recorder.flush()
-        reporter = BurnReporter(SloHistory(objects, MemoryTable()))
+        reporter = BurnRateReporter(SloHistory(objects, MemoryTable()))
         burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
         self.assertEqual(5, burn_report['objectives']['availability']['good'])
         self.assertEqual([], burn_report['missing'])
@@ -87,10 +87,10 @@
         for hour in range(7):
             for number in range(100):
                 good = number >= 2 or hour < 1
-                recorder.record(SERVICE, Sample(good, 0.1, 0.01))
+                recorder.record(SERVICE, ResponseSample(good, 0.1, 0.01))
             clock.advance(PERIOD_S)
             recorder.flush()
-        reporter = BurnReporter(SloHistory(objects, MemoryTable()))
+        reporter = BurnRateReporter(SloHistory(objects, MemoryTable()))
         burn_report = reporter.report(SERVICE, OBJECTIVE, clock.wall())
         kinds = {each['severity'] for each in burn_report['alerts']}
         self.assertEqual({'page', 'ticket'}, kinds)
--- a/tests/test_burn_watch.py
+++ b/tests/test_burn_watch.py
@@ -8,8 +8,8 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.slo.burn import HOUR_S
-from cactusridge.slo.burn_watch import BUCKET_S, BurnWatch
-from cactusridge.slo.window import Quantity, ServiceWindow
+from cactusridge.slo.burn_watch import BUCKET_S, BurnRateMonitor
+from cactusridge.slo.window import GoodBadCounts, ServiceWindow
 from tests.quarter import OBJECTIVE, SERVICE
 
 PERIOD_S = BUCKET_S / 5
@@ -25,7 +25,7 @@
     def setUp(self):
         """Watch one service and capture the log."""
         self.clock = ManualClock(1_000_000_000)
-        self.watch = BurnWatch(lambda path: OBJECTIVE, self.clock)
+        self.watch = BurnRateMonitor(lambda path: OBJECTIVE, self.clock)
         self.addCleanup(structlog.configure, **structlog.get_config())
         self.logs = LogCapture()
         structlog.configure(
@@ -97,7 +97,7 @@
     def test_item_without_exactly_one_result(self):
         """One batch item without exactly one result raises alerts at once."""
         window = ServiceWindow()
-        window.count('exactly_once', Quantity(100, 1))
+        window.count('exactly_once', GoodBadCounts(100, 1))
         self.watch.add({SERVICE: window})
         expected = [('page', 'exactly_once'), ('ticket', 'exactly_once')]
         self.assertEqual(expected, self.raised())
--- a/tests/test_hour_merger.py
+++ b/tests/test_hour_merger.py
@@ -97,10 +97,10 @@
         def put_and_race(*args) -> None:
             quarter.objects.put = real_put
             real_put(*args)
-            second.step()
+            second.merge_next_due()
 
         quarter.objects.put = put_and_race
-        first.step()
+        first.merge_next_due()
         self.assertEqual(1, len(quarter.table.store.rows))
         self.assertEqual(before, quarter.report())
 
@@ -141,7 +141,7 @@
         def merge(quarter: Quarter) -> None:
             for name in NAMES:
                 merger = merger_of(quarter, name, NAMES)
-                done[name] += len(list(iter(merger.step, None)))
+                done[name] += len(list(iter(merger.merge_next_due, None)))
 
         quarter = Quarter(8, 2, merge)
         self.assertEqual(sealed_hours(quarter), merged_hours(quarter))
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -15,8 +15,8 @@
 )
 from cactusridge.http.app import error_reply
 from cactusridge.orders import RunOrder, WorkClass
-from cactusridge.sidecar.controllers import FillController
-from cactusridge.sidecar.gate import Gate
+from cactusridge.sidecar.controllers import FillSlotsController
+from cactusridge.sidecar.gate import AdmissionGate
 from cactusridge.sidecar.limits import FixedLimit
 from cactusridge.startup.models import UpstreamSettings
 
@@ -33,21 +33,21 @@
             max_waiting=3,
         )
         self.clock = ManualClock()
-        self.gate = Gate(
+        self.gate = AdmissionGate(
             cfg,
             FixedLimit(1),
-            FillController(1),
+            FillSlotsController(1),
             self.clock,
         )
-        self.running = self.gate.enter(self.order(60))
+        self.running = self.gate.acquire(self.order(60))
         self.waiters = [
-            gevent.spawn(self.gate.enter, self.order(60)) for _ in range(3)
+            gevent.spawn(self.gate.acquire, self.order(60)) for _ in range(3)
         ]
         self.addCleanup(gevent.killall, self.waiters)
         gevent.sleep(0)
         for _ in range(2):
             self.clock.advance(1)
-            self.gate.leave(self.running)
+            self.gate.release(self.running)
             gevent.sleep(0)
             ready = [each for each in self.waiters if each.ready()]
             self.running = ready[-1].value
@@ -67,17 +67,19 @@
     def test_deadline_that_cannot_be_met(self):
         """A deadline of 0.5 s is refused when a slot takes 1 s."""
         with self.assertRaises(Overloaded) as refused:
-            self.gate.enter(self.order(0.5))
+            self.gate.acquire(self.order(0.5))
         self.assertTrue(refused.exception.not_run)
         self.assertAlmostEqual(2, refused.exception.retry_after_s, places=2)
 
     def test_queue_that_is_full(self):
         """The retry time grows with the number of queued orders."""
-        more = [gevent.spawn(self.gate.enter, self.order(60)) for _ in range(2)]
+        more = [
+            gevent.spawn(self.gate.acquire, self.order(60)) for _ in range(2)
+        ]
         self.addCleanup(gevent.killall, more)
         gevent.sleep(0)
         with self.assertRaises(Overloaded) as refused:
-            self.gate.enter(self.order(60))
+            self.gate.acquire(self.order(60))
         self.assertAlmostEqual(4, refused.exception.retry_after_s, places=2)
 
 
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -42,7 +42,7 @@
         changed = self.rig.update(YAZMAN, batch_share=0.5)
         self.wait_version(changed.body['version'])
         for served in self.rig.sidecars:
-            gate = served.subject.lanes[YAZMAN].gate
+            gate = served.subject.upstreams[YAZMAN].gate
             self.assertEqual(0.5, gate.controller.share)
 
     def test_what_does_not_concern_a_sidecar_is_not_sent_to_it(self):
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -65,4 +65,4 @@
         calls = self.rig.plain.subject.calls
         ran = sum(call['body'] == '"silent"' for call in calls)
         self.assertEqual(int(answer.status == 200), ran)
-        self.assertIn(DEFTER, self.rig.sidecars[0].subject.lanes)
+        self.assertIn(DEFTER, self.rig.sidecars[0].subject.upstreams)
