--- a/bench/made_state.py
+++ b/bench/made_state.py
@@ -134,7 +134,7 @@
 
 def ledger_of(size: int) -> OrderLedger:
     """Return a ledger that remembers that many orders."""
-    cfg = SidecarSettings.made_of(
+    cfg = SidecarSettings.from_values(
         listen='127.0.0.1:1',
         zone='a',
         internal_secret='x' * 16,
--- a/cactusridge/batch/file_store.py
+++ b/cactusridge/batch/file_store.py
@@ -139,18 +139,20 @@
     def _find(self, team: str, name: str) -> Manifest | None:
         key = row_key(team, name)
         row = self._table.read([key], Priority.acceptance)[0]
-        if not self._reader.there(row):
+        if not self._reader.exists(row):
             return None
         raw = self._objects.get(manifest_name(team, name))
         try:
             return decode(wire.decode(raw))
         except (BadRequest, UnreadableField) as exc:
-            self._reader.refuse(row, f'the manifest is unreadable: {exc}')
+            self._reader.raise_unreadable(
+                row, f'the manifest is unreadable: {exc}'
+            )
 
 
 def _listed(row: Row) -> dict[str, object]:
     """Return the fields of a file for the listing; raise UnreadableField."""
     fields = Fields(row.value)
     texts = {name: fields.text(name) for name in ('id', 'filename', 'model')}
-    wholes = {name: fields.whole(name) for name in ('bytes', 'created')}
+    wholes = {name: fields.integer(name) for name in ('bytes', 'created')}
     return {**(row.value or {}), **texts, **wholes}
--- a/cactusridge/batch/held_span.py
+++ b/cactusridge/batch/held_span.py
@@ -179,7 +179,7 @@
 
     def _close(self, cancelled: bool) -> None:
         progress_row, done_row = self._closing_rows()
-        if self._reader.there(done_row):
+        if self._reader.exists(done_row):
             # An earlier attempt or another holder closed the span.
             return
         counted = self._reader.read(progress_row, parse_progress)
@@ -225,7 +225,7 @@
             raise JobCancelled from exc
         if self.key in exc.rows:
             done_row = self._closing_rows()[1]
-            if not self._reader.there(done_row):
+            if not self._reader.exists(done_row):
                 raise LeaseLost from exc
             return
         # Only the progress row changed: another span of the job was closed.
--- a/cactusridge/batch/job_reader.py
+++ b/cactusridge/batch/job_reader.py
@@ -121,7 +121,7 @@
         found = []
         for number in numbers:
             row = rows[open_keys[number]]
-            if not only_open and not self._reader.there(row):
+            if not only_open and not self._reader.exists(row):
                 row = rows[done_keys[number]]
             span = self._reader.read(row, parse_span)
             if span is not None:
--- a/cactusridge/batch/jobs.py
+++ b/cactusridge/batch/jobs.py
@@ -99,8 +99,8 @@
         **texts,
         due=fields.number('due'),
         created=fields.number('created'),
-        items=fields.whole('items'),
-        spans=fields.whole('spans'),
+        items=fields.integer('items'),
+        spans=fields.integer('spans'),
         metadata=fields.texts('metadata'),
         job_class=fields.text('job_class', ''),
     )
@@ -110,9 +110,9 @@
     """Return the progress in a row; raise UnreadableField."""
     fields = Fields(row.value)
     return Progress(
-        fields.whole('spans'),
-        fields.whole('ok'),
-        fields.whole('failed'),
+        fields.integer('spans'),
+        fields.integer('ok'),
+        fields.integer('failed'),
         fields.number('finished'),
     )
 
--- a/cactusridge/batch/manifest.py
+++ b/cactusridge/batch/manifest.py
@@ -54,10 +54,10 @@
         for name in ('id', 'team', 'filename', 'model', 'url')
     }
     wholes = {
-        name: fields.whole(name)
+        name: fields.integer(name)
         for name in ('bytes', 'created', 'items', 'chunk_items')
     }
-    segments = tuple(map(_segment, fields.listed('segments')))
+    segments = tuple(map(_segment, fields.items_of('segments')))
     return Manifest(**texts, **wholes, segments=segments)
 
 
@@ -65,6 +65,6 @@
     fields = Fields(raw)
     return Segment(
         fields.text('name'),
-        fields.whole('items'),
-        tuple(fields.wholes('offsets')),
+        fields.integer('items'),
+        tuple(fields.counts_list('offsets')),
     )
--- a/cactusridge/clock.py
+++ b/cactusridge/clock.py
@@ -44,7 +44,7 @@
         return time.time()
 
 
-class AwakeClock(Clock):
+class UnpausedStepClock(Clock):
     """A clock that does not count the pauses of its own process.
 
     While this process does not run it receives nothing, so the time is no
--- a/cactusridge/core.py
+++ b/cactusridge/core.py
@@ -43,7 +43,7 @@
         """Report that the entry is not ready."""
         self._entry.begin_drain()
 
-    def finish(self, bound_s: float) -> None:
+    def hand_over(self, bound_s: float) -> None:
         """Hand over batch work within ``bound_s`` seconds."""
         self._entry.finish(bound_s)
 
@@ -79,7 +79,7 @@
         """
         return self._sidecar.app
 
-    def finish(self, bound_s: float) -> None:
+    def hand_over(self, bound_s: float) -> None:
         """Do nothing: a sidecar has no work besides its requests."""
 
     def _tick(self) -> None:
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -22,7 +22,7 @@
     UpstreamSilent,
 )
 from cactusridge.errors import (
-    CallerGone,
+    CallerDisconnected,
     DeadlineExceeded,
     NoReplica,
     OutcomeUnknown,
@@ -156,13 +156,13 @@
     def check(self, call: OnlineCall, progress: Progress) -> None:
         """Return if the call may be sent to a replica now, else raise.
 
-        Raises CallerGone if the caller has disconnected, Quarantined if
+        Raises CallerDisconnected if the caller has disconnected, Quarantined if
         the request is quarantined, what the permit raises, and at the
         deadline DeadlineExceeded, or Overloaded if the request has not
         run.
         """
         if call.caller.gone:
-            raise CallerGone
+            raise CallerDisconnected
         self._runner.suspects.check(call.req.fingerprint)
         call.permit.check()
         if self._clock.monotonic() < call.deadline_at:
--- a/cactusridge/dispatch/retries.py
+++ b/cactusridge/dispatch/retries.py
@@ -5,7 +5,7 @@
 from cactusridge.dispatch.upstream import ConnectFailed
 from cactusridge.errors import (
     CactusridgeError,
-    CallerGone,
+    CallerDisconnected,
     DeadlineExceeded,
     NoReplica,
     Overloaded,
@@ -34,11 +34,11 @@
 ) -> None:
     """Return if the call may be retried at another replica, else raise.
 
-    Raises CallerGone if the caller has disconnected, Overloaded after
+    Raises CallerDisconnected if the caller has disconnected, Overloaded after
     too many rejections, and ``exc`` otherwise.
     """
     if call.caller.gone:
-        raise CallerGone from exc
+        raise CallerDisconnected from exc
     if isinstance(exc, NotRun | ConnectFailed):
         progress.rejections += 1
         if progress.rejections >= MAX_REJECTIONS:
--- a/cactusridge/entry/answering.py
+++ b/cactusridge/entry/answering.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cactusridge import metrics
-from cactusridge.errors import CactusridgeError, CallerGone
+from cactusridge.errors import CactusridgeError, CallerDisconnected
 from cactusridge.http.exchange import Headers, Reply, Req
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
@@ -19,7 +19,7 @@
     attempt: Attempt
     timer: ResponseTimer
 
-    def whole(self) -> Reply:
+    def as_reply(self) -> Reply:
         """Read the whole response and return it as a reply with one body."""
         body = self.attempt.whole()
         self.timer.record_complete(self.attempt.status)
@@ -34,13 +34,13 @@
     """Dispatch the request; return its response once it has started.
 
     Raises the error with which the request was refused or failed. Raises
-    CallerGone if the caller disconnects before the response starts.
+    CallerDisconnected if the caller disconnects before the response starts.
     """
     timer = ResponseTimer(parts.recorder, dispatch.service, parts.clock)
 
     def watch_caller() -> None:  # noqa: WPS430
-        if req.caller_gone():
-            raise CallerGone
+        if req.caller_disconnected():
+            raise CallerDisconnected
 
     try:
         attempt = parts.dispatcher.open(dispatch, watch_caller)
--- a/cactusridge/entry/building.py
+++ b/cactusridge/entry/building.py
@@ -71,7 +71,7 @@
 def _link(cfg: EntrySettings, clock: Clock) -> PlatformLink:
     return PlatformLink(
         parse_address(cfg.store.address),
-        ReplyTimeout(cfg.store.least_s, cfg.store.timeout_s),
+        ReplyTimeout(cfg.store.min_timeout_s, cfg.store.timeout_s),
         cfg.store.calls_per_s,
         clock,
         random.Random(),  # noqa: S311
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -112,7 +112,7 @@
         if dispatch.streamed and attempt.status == OK:
             blocks = self._stream(attempt, response.timer)
             return Reply(OK, response_headers(attempt), blocks)
-        return response.whole()
+        return response.as_reply()
 
     def _stream(
         self, attempt: Attempt, timer: ResponseTimer
--- a/cactusridge/entry/peers.py
+++ b/cactusridge/entry/peers.py
@@ -6,7 +6,7 @@
 
 from cactusridge import wire
 from cactusridge.errors import NoReplica
-from cactusridge.http.awake import PatientTimeout
+from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.client import Address, Clients
 from cactusridge.http.secret import SECRET_HEADER
 from cactusridge.settings.follower import PeerSource
@@ -64,11 +64,11 @@
         if not body:
             return None
         fields = Fields(wire.decode(body))
-        nodes = [tuple(node) for node in fields.listed('nodes')]
-        return Snapshot(fields.whole('version'), nodes)
+        nodes = [tuple(node) for node in fields.items_of('nodes')]
+        return Snapshot(fields.integer('version'), nodes)
 
     def _get(self, peer: Address, path: str) -> bytes:
-        timeout = PatientTimeout(TIMEOUT_S)
+        timeout = UnpausedTimeout(TIMEOUT_S)
         try:
             with (
                 timeout,
@@ -85,10 +85,10 @@
         except IO_ERRORS as exc:
             self._clients.drop(peer)
             raise NoReplica(f'{peer}: {exc!r}') from exc
-        except PatientTimeout as exc:
+        except UnpausedTimeout as exc:
             if exc is not timeout:
                 raise
-            raise NoReplica(f'{peer}: {exc.described(path)}') from exc
+            raise NoReplica(f'{peer}: {exc.timeout_message(path)}') from exc
         if status not in {OK, NO_CONTENT}:
             raise NoReplica(f'{peer}: status {status}')
         return body
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -73,7 +73,7 @@
             buffering=Buffering.whole,
             share=fields.share,
         )
-        return open_response(self._parts, req, dispatch).whole()
+        return open_response(self._parts, req, dispatch).as_reply()
 
 
 def _with_query(path: str, req: Req) -> str:
--- a/cactusridge/entry/uploads.py
+++ b/cactusridge/entry/uploads.py
@@ -11,7 +11,7 @@
 )
 
 from cactusridge.errors import BadRequest, SlowRequest, TooLarge
-from cactusridge.http.awake import PatientTimeout
+from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.exchange import Req
 
 MAX_FIELD_BYTES = 4096
@@ -86,7 +86,7 @@
     def _block(self, size: int) -> bytes:
         source = self._req.environ['wsgi.input']
         try:
-            with PatientTimeout(self._block_timeout_s, SlowRequest()):
+            with UnpausedTimeout(self._block_timeout_s, SlowRequest()):
                 return source.read(size)
         except OSError as exc:
             raise BadRequest(
--- a/cactusridge/errors.py
+++ b/cactusridge/errors.py
@@ -24,7 +24,7 @@
     kind: ClassVar[str] = 'server_error'
     code: ClassVar[str] = 'internal_error'
     not_run: bool | None = None
-    come_back_s: ClassVar[float | None] = None
+    default_retry_after_s: ClassVar[float | None] = None
 
     def __init__(
         self,
@@ -42,7 +42,9 @@
         self.param = param
         # An explicit wait takes precedence over the default of the class.
         is_set = retry_after_s is not None
-        self.retry_after_s = retry_after_s if is_set else self.come_back_s
+        self.retry_after_s = (
+            retry_after_s if is_set else self.default_retry_after_s
+        )
 
     def body(self) -> ErrorBody:
         """Return the ``error`` object of the reply."""
@@ -133,7 +135,7 @@
     """The request was not run; it may be sent again later."""
 
     status = 503
-    come_back_s = 1
+    default_retry_after_s = 1
     kind = 'unavailable'
     code = 'refused'
     not_run = True
@@ -211,7 +213,7 @@
     """The deadline passed after the request had begun."""
 
     status = 504
-    come_back_s = 1
+    default_retry_after_s = 1
     kind = 'timeout_error'
     code = 'deadline_exceeded'
 
@@ -228,7 +230,7 @@
     code = 'crossed_reply'
 
 
-class CallerGone(CactusridgeError):
+class CallerDisconnected(CactusridgeError):
     """The caller closed its connection."""
 
     status = 499
--- a/cactusridge/http/awake.py
+++ b/cactusridge/http/awake.py
@@ -3,7 +3,7 @@
 A process may be paused: its host is suspended, its processor is stalled, or
 work in its event loop takes long. Data that arrives in the meantime is not
 read, so the pause is no evidence that another process was silent. Code that
-waits for another process therefore uses a ``PatientTimeout``. Deadlines and
+waits for another process therefore uses an ``UnpausedTimeout``. Deadlines and
 leases never do, because other processes let them expire on time.
 """
 
@@ -15,7 +15,7 @@
 from gevent.hub import Hub
 
 from cactusridge import events, logs
-from cactusridge.clock import AwakeClock, Clock, SystemClock
+from cactusridge.clock import Clock, SystemClock, UnpausedStepClock
 
 # Seconds between two ticks of the clock; it ticks only while it is held.
 TICK_S = 0.02
@@ -32,7 +32,7 @@
 PRIORITY = -1
 
 
-class ListeningClock(Clock):
+class UnpausedClock(Clock):
     """Counts the seconds in which a thread's event loop was not paused.
 
     A tick ends once its time has passed and all that was ready by then has
@@ -43,7 +43,7 @@
 
     def __init__(self, hub: Hub) -> None:
         """Measure the event loop of ``hub``."""
-        self._awake = AwakeClock(SystemClock(), MAX_STEP_S)
+        self._step_clock = UnpausedStepClock(SystemClock(), MAX_STEP_S)
         self._loop = hub.loop
         # A timer without a repeat interval would fire at once when it is
         # restarted.
@@ -63,7 +63,7 @@
 
     def wall(self) -> float:
         """Return Unix time in seconds, which includes pauses."""
-        return self._awake.wall()
+        return self._step_clock.wall()
 
     def hold(self) -> None:
         """Tick until ``release`` has been called for each ``hold``."""
@@ -95,24 +95,24 @@
 
     def _count(self) -> None:
         self._ticked_at = time.monotonic()
-        self._counted = self._awake.monotonic()
+        self._counted = self._step_clock.monotonic()
 
 
-_clocks: weakref.WeakKeyDictionary[Hub, ListeningClock] = (
+_clocks: weakref.WeakKeyDictionary[Hub, UnpausedClock] = (
     weakref.WeakKeyDictionary()
 )
 
 
-def listening_clock() -> ListeningClock:
+def unpaused_clock() -> UnpausedClock:
     """Return the clock of the current thread's event loop."""
     hub = gevent.get_hub()
     clock = _clocks.get(hub)
     if clock is None:
-        clock = _clocks.setdefault(hub, ListeningClock(hub))
+        clock = _clocks.setdefault(hub, UnpausedClock(hub))
     return clock
 
 
-class PatientTimeout(gevent.Timeout):
+class UnpausedTimeout(gevent.Timeout):
     """A timeout of ``seconds``, not counting pauses of this process.
 
     With None as ``seconds`` it never expires.
@@ -124,7 +124,7 @@
         On expiry ``exception`` is raised, by default the timeout itself.
         """
         super().__init__(seconds, exception, priority=PRIORITY)
-        self._clock = listening_clock()
+        self._clock = unpaused_clock()
         self._started_at = float(0)
         self._expires_at = float(0)
         self._holding = False
@@ -149,7 +149,7 @@
         super().close()
         self._release_clock()
 
-    def described(self, awaited: str) -> str:
+    def timeout_message(self, awaited: str) -> str:
         """Return an error text with the time waited, without and with pauses.
 
         ``awaited`` names the operation, such as ``reading``.
--- a/cactusridge/http/client.py
+++ b/cactusridge/http/client.py
@@ -6,7 +6,7 @@
 from geventhttpclient.response import HTTPSocketPoolResponse
 
 from cactusridge import wire
-from cactusridge.http.patience import PatientClient
+from cactusridge.http.patience import UnpausedClient
 
 # The most connections of a pool.
 POOL_SIZE = 4096
@@ -42,7 +42,7 @@
         """Limit connecting and each wait for bytes, in seconds."""
         self.connect_timeout_s = connect_timeout_s
         self.silence_timeout_s = silence_timeout_s
-        self._clients: dict[Address, PatientClient] = {}
+        self._clients: dict[Address, UnpausedClient] = {}
 
     def send(
         self,
@@ -97,10 +97,10 @@
             body = resp.read()
             return resp.status_code, wire.decode(body)
 
-    def _client(self, address: Address) -> PatientClient:
+    def _client(self, address: Address) -> UnpausedClient:
         client = self._clients.get(address)
         if client is None:
-            client = PatientClient(
+            client = UnpausedClient(
                 address.host,
                 address.port,
                 concurrency=POOL_SIZE,
--- a/cactusridge/http/exchange.py
+++ b/cactusridge/http/exchange.py
@@ -7,7 +7,7 @@
 
 from cactusridge import wire
 from cactusridge.errors import BadRequest, SlowRequest, TooLarge
-from cactusridge.http.awake import PatientTimeout
+from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.readable import is_readable
 
 SOCKET_KEY = 'cactusridge.socket'
@@ -88,7 +88,7 @@
         length = self.content_length()
         if length is not None and length > self.max_body:
             raise TooLarge(f'the body is over {self.max_body} bytes')
-        with PatientTimeout(self.body_timeout_s, SlowRequest()):
+        with UnpausedTimeout(self.body_timeout_s, SlowRequest()):
             raw = self._read()
         if len(raw) > self.max_body:
             raise TooLarge(f'the body is over {self.max_body} bytes')
@@ -109,7 +109,7 @@
             raise BadRequest('Content-Length is not a number')
         return int(text)
 
-    def caller_gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
         """Return whether the caller has closed its connection."""
         sock = self.environ.get(SOCKET_KEY)
         if sock is None:
--- a/cactusridge/http/patience.py
+++ b/cactusridge/http/patience.py
@@ -9,7 +9,7 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.connectionpool import ConnectionPool
 
-from cactusridge.http.awake import PatientTimeout
+from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.readable import is_readable, is_writable
 
 # How often a call that changes nothing is sent again because its connection
@@ -18,7 +18,7 @@
 
 
 @contextlib.contextmanager
-def bounded(
+def wait_limit(
     seconds: float,
     awaited: str,
     is_ready: Callable[[], bool],
@@ -30,18 +30,18 @@
     iteration other greenlets may have run for long. ``awaited`` names the
     operation in the error message.
     """
-    limit = PatientTimeout(seconds)
+    limit = UnpausedTimeout(seconds)
     try:
         with limit:
             yield
-    except PatientTimeout as exc:
+    except UnpausedTimeout as exc:
         if exc is not limit:
             raise
         if not is_ready():
-            raise TimeoutError(exc.described(awaited)) from exc
+            raise TimeoutError(exc.timeout_message(awaited)) from exc
 
 
-class PatientSocket(socket.socket):
+class UnpausedSocket(socket.socket):
     """A socket that times out only if its peer was silent.
 
     The timeout limits connecting, each wait for bytes, and each wait for
@@ -57,7 +57,7 @@
             self.settimeout(None)
             is_connected = functools.partial(is_writable, self)
             try:
-                with bounded(timeout_s, 'connecting', is_connected):
+                with wait_limit(timeout_s, 'connecting', is_connected):
                     super().connect(address)
             finally:
                 self.settimeout(timeout_s)
@@ -82,11 +82,11 @@
             super()._wait(watcher, timeout_exc)
         elif watcher is self._write_event:
             can_send = functools.partial(is_writable, self)
-            with bounded(timeout_s, 'sending', can_send):
+            with wait_limit(timeout_s, 'sending', can_send):
                 socket.wait(watcher)
         else:
             can_read = functools.partial(is_readable, self)
-            with bounded(timeout_s, 'reading', can_read):
+            with wait_limit(timeout_s, 'reading', can_read):
                 socket.wait(watcher)
 
 
@@ -94,12 +94,12 @@
     address: tuple[str, int],
     connect_timeout_s: float,
     silence_timeout_s: float,
-) -> PatientSocket:
+) -> UnpausedSocket:
     """Return a socket connected to ``address``; raise OSError.
 
     The timeouts limit connecting and each later wait, in seconds.
     """
-    sock = PatientSocket(socket.AF_INET, socket.SOCK_STREAM)
+    sock = UnpausedSocket(socket.AF_INET, socket.SOCK_STREAM)
     sock.settimeout(connect_timeout_s)
     try:
         sock.connect(address)
@@ -113,18 +113,18 @@
     return sock
 
 
-class PatientPool(ConnectionPool):
-    """A connection pool of ``PatientSocket`` objects."""
+class UnpausedPool(ConnectionPool):
+    """A connection pool of ``UnpausedSocket`` objects."""
 
     def _create_tcp_socket(
         self,
         family: int,
         socktype: int,
         protocol: int,
-    ) -> PatientSocket:
-        return PatientSocket(family, socktype, protocol)
+    ) -> UnpausedSocket:
+        return UnpausedSocket(family, socktype, protocol)
 
-    def _is_socket_alive(self, sock: PatientSocket) -> bool:
+    def _is_socket_alive(self, sock: UnpausedSocket) -> bool:
         """Return whether an idle connection can be used again.
 
         geventhttpclient uses ``select`` here, which rejects descriptors
@@ -133,13 +133,13 @@
         return sock.fileno() >= 0 and not is_readable(sock)
 
 
-class PatientClient(HTTPClient):
-    """An HTTP client that uses ``PatientSocket`` objects."""
+class UnpausedClient(HTTPClient):
+    """An HTTP client that uses ``UnpausedSocket`` objects."""
 
     def __init__(self, host: str, port: int, **options: float) -> None:
         """Connect to ``host`` and ``port``, with options of HTTPClient."""
         super().__init__(host, port, **options)
-        self._connection_pool = PatientPool(
+        self._connection_pool = UnpausedPool(
             host,
             port,
             host,
--- a/cactusridge/http/probe.py
+++ b/cactusridge/http/probe.py
@@ -19,7 +19,7 @@
         return False
 
 
-def stays_open(sock: socket.socket) -> bool:
+def is_still_open(sock: socket.socket) -> bool:
     """Return whether a new connection is still open after PROBE_S."""
     gevent.sleep(PROBE_S)
     return is_quiet(sock)
--- a/cactusridge/http/server.py
+++ b/cactusridge/http/server.py
@@ -74,7 +74,7 @@
     def handle_one_response(self) -> None:
         """Serve one request and count it while it is in flight."""
         self.server.active += 1
-        if self.server.drained:
+        if self.server.rejects_requests:
             self.application = self.server.late_application
         try:
             super().handle_one_response()
@@ -135,7 +135,7 @@
         self.draining = False
         # Whether new requests are rejected, because the process may exit
         # before they end.
-        self.drained = False
+        self.rejects_requests = False
 
     def update_environ(self) -> None:
         """Set the server's name to its address, without a name lookup.
@@ -165,6 +165,6 @@
             now = self.clock.monotonic()
             if self.active:
                 last_busy_at = now
-            self.drained = now - started_at >= QUIET_S
-        self.drained = True
+            self.rejects_requests = now - started_at >= QUIET_S
+        self.rejects_requests = True
         return not self.active
--- a/cactusridge/jobs/heads.py
+++ b/cactusridge/jobs/heads.py
@@ -43,7 +43,9 @@
         """Update a head from its row; an absent row removes the head."""
         job_id = row.key.rpartition('/')[-1]
         if row.key != head_key(job_id):
-            self._reader.report(row, 'the key is not that of a job head')
+            self._reader.log_unreadable(
+                row, 'the key is not that of a job head'
+            )
             return
         try:
             head = self._reader.read(row, parse_head)
--- a/cactusridge/jobs/model.py
+++ b/cactusridge/jobs/model.py
@@ -118,13 +118,13 @@
         id=job_id,
         host=fields.text('host'),
         path=fields.text('path'),
-        items=fields.whole('items'),
-        created_ms=fields.whole('created_ms'),
+        items=fields.integer('items'),
+        created_ms=fields.integer('created_ms'),
         holder=fields.text('holder'),
         life=fields.text('life'),
-        state=fields.word('state', JobState),
+        state=fields.enum_value('state', JobState),
         version=version,
-        catalog_version=fields.whole('catalog_version', 0),
+        catalog_version=fields.integer('catalog_version', 0),
         organisation=fields.text('organisation', ''),
     )
 
--- a/cactusridge/jobs/payloads.py
+++ b/cactusridge/jobs/payloads.py
@@ -71,7 +71,7 @@
         try:
             return parse_items(raw)
         except UnreadableField as exc:
-            self._reader.refuse(rows[0], str(exc))
+            self._reader.raise_unreadable(rows[0], str(exc))
 
     def drop(self, job_id: str) -> list[Write]:
         """Delete the object of a job and return writes that delete its rows.
@@ -88,7 +88,9 @@
         """Return whether a row's key is that of a payload; log it if not."""
         is_payload_row = row.key.removeprefix(prefix).isdecimal()
         if not is_payload_row:
-            self._reader.report(row, 'the key is not that of a payload row')
+            self._reader.log_unreadable(
+                row, 'the key is not that of a payload row'
+            )
         return is_payload_row
 
     def _payload_bytes(self, rows: list[Row]) -> bytes:
@@ -97,7 +99,7 @@
         numbers = [row.key.rpartition('.')[-1] for row in rows]
         expected = [f'{number:04}' for number in range(len(rows))]
         if None in pieces or numbers != expected:
-            self._reader.refuse(
+            self._reader.raise_unreadable(
                 rows[0], f'the rows of the payload are {numbers}'
             )
         name = pieces[0].object_name
@@ -106,7 +108,9 @@
         try:
             return self._objects.get(name)
         except NotFound:
-            self._reader.refuse(rows[0], f'the object {name} does not exist')
+            self._reader.raise_unreadable(
+                rows[0], f'the object {name} does not exist'
+            )
 
 
 class Piece(NamedTuple):
@@ -151,5 +155,5 @@
         fields.text('path'),
         fields.texts('headers'),
         body,
-        fields.signed('tokens'),
+        fields.signed_integer('tokens'),
     )
--- a/cactusridge/jobs/result_rows.py
+++ b/cactusridge/jobs/result_rows.py
@@ -106,7 +106,9 @@
         position = _position(row)
         is_result = position.isdecimal() and len(position) == POSITION_DIGITS
         if not is_result:
-            self._reader.report(row, 'the key is not that of a result row')
+            self._reader.log_unreadable(
+                row, 'the key is not that of a result row'
+            )
         return is_result
 
     def _result(
@@ -118,7 +120,7 @@
         ``expected_position`` the position that has to come next.
         """
         if found_position != expected_position:
-            self._reader.refuse(
+            self._reader.raise_unreadable(
                 rows[0], f'the result {expected_position} before it is missing'
             )
         result = self._reader.read(rows[0], _parse_first)
@@ -126,10 +128,12 @@
             self._reader.read(row, _parse_continuation) for row in rows[1:]
         ]
         if result is None or None in others:
-            self._reader.refuse(rows[0], 'a row of the result was removed')
+            self._reader.raise_unreadable(
+                rows[0], 'a row of the result was removed'
+            )
         numbers = [row.key.rpartition('.')[-1] for row in rows[1:]]
         if numbers != [f'{number:04}' for number in range(len(others))]:
-            self._reader.refuse(
+            self._reader.raise_unreadable(
                 rows[0], f'the further rows of the result are {numbers}'
             )
         output = ''.join((result.output, *others))
@@ -147,7 +151,7 @@
     fields = Fields(row.value)
     return Result(
         fields.text('id'),
-        fields.word('state', ItemState),
+        fields.enum_value('state', ItemState),
         fields.text('output'),
     )
 
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -266,9 +266,9 @@
         fields.text('name'),
         fields.text('life'),
         fields.text('host'),
-        fields.whole('port'),
+        fields.integer('port'),
         fields.text('zone'),
-        fields.whole('since_ms', 0),
+        fields.integer('since_ms', 0),
     )
     if member.name != row.key.removeprefix(PREFIX):
         raise UnreadableField(f'the row names the entry {member.name}')
--- a/cactusridge/jobs/step.py
+++ b/cactusridge/jobs/step.py
@@ -56,7 +56,7 @@
 def parse_progress(row: Row) -> Progress:
     """Parse the progress of a job from its row; raise UnreadableField."""
     fields = Fields(row.value)
-    listed = fields.wholes('listed')
+    listed = fields.counts_list('listed')
     if len(set(listed)) != len(listed):
         raise UnreadableField('an item index is listed twice')
     return Progress(
--- a/cactusridge/jobs/tenure.py
+++ b/cactusridge/jobs/tenure.py
@@ -79,5 +79,5 @@
 def _parse_times(row: Row) -> _RowTimes:
     fields = Fields(row.value)
     return _RowTimes(
-        fields.whole('since_ms', 0), fields.whole(RENEWED_FIELD, 0)
+        fields.integer('since_ms', 0), fields.integer(RENEWED_FIELD, 0)
     )
--- a/cactusridge/organisations/errors.py
+++ b/cactusridge/organisations/errors.py
@@ -16,7 +16,7 @@
     """This entry cannot confirm that its copy of the API keys is current."""
 
     code = 'keys_unsure'
-    come_back_s = KEYS_RETRY_S
+    default_retry_after_s = KEYS_RETRY_S
 
 
 class OverLimit(Overloaded):
@@ -29,4 +29,4 @@
     """No entry that counts the organisation's rate limit could be reached."""
 
     code = 'limit_unsure'
-    come_back_s = KEYS_RETRY_S
+    default_retry_after_s = KEYS_RETRY_S
--- a/cactusridge/platform/objects.py
+++ b/cactusridge/platform/objects.py
@@ -63,7 +63,7 @@
         if answer.status != HTTPStatus.OK:
             raise _failure(answer.status)
         try:
-            names = Fields(wire.decode(answer.body)).listed('names')
+            names = Fields(wire.decode(answer.body)).items_of('names')
         except (BadRequest, UnreadableField) as exc:
             raise StoreUnavailable(
                 f'unreadable answer: {exc!r}',
--- a/cactusridge/platform/operator.py
+++ b/cactusridge/platform/operator.py
@@ -119,10 +119,10 @@
     """
     fields = Fields(raw)
     return Catalog(
-        fields.whole('version'),
-        tuple(map(_route, fields.listed('routes', ()))),
+        fields.integer('version'),
+        tuple(map(_route, fields.items_of('routes', ()))),
         _limits(Fields(fields.mapping('limits', {}))),
-        _directory(fields.listed(ORGANISATIONS_FIELD, None)),
+        _directory(fields.items_of(ORGANISATIONS_FIELD, None)),
     )
 
 
@@ -166,10 +166,10 @@
     burst = fields.number('burst', 0)
     organisation = Organisation(
         fields.text('name'),
-        fields.whole('priority', None),
+        fields.integer('priority', None),
         RateLimit(rate_per_s, burst) if rate_per_s else None,
     )
-    digests = map(str, fields.listed(DIGESTS_FIELD, ()))
+    digests = map(str, fields.items_of(DIGESTS_FIELD, ()))
     return Holder(organisation, tuple(digests))
 
 
@@ -180,12 +180,12 @@
         name=fields.text('name'),
         host=fields.text('host'),
         prefix=fields.text('path_prefix'),
-        kind=fields.word('kind', RouteKind),
+        kind=fields.enum_value('kind', RouteKind),
         shares=_shares(fields),
         timeout_s=timeout_ms / MS_PER_S,
         aim_s=fields.number('target_latency_ms', timeout_ms) / MS_PER_S,
-        attempts=fields.whole('max_attempts', 1),
-        priority=fields.whole('priority', 0),
+        attempts=fields.integer('max_attempts', 1),
+        priority=fields.integer('priority', 0),
         resumable=fields.flag('resumable', False),  # noqa: WPS425
         due_s=fields.number('result_due_ms', 0) / MS_PER_S,
         give_up_s=fields.number('max_wait_s', 0),
@@ -194,7 +194,7 @@
 
 
 def _shares(route: Fields) -> tuple[ServiceShare, ...]:
-    split = route.listed('traffic_split', ())
+    split = route.items_of('traffic_split', ())
     if not split:
         return (ServiceShare(route.text('service'), 1),)
     shares = map(Fields, split)
@@ -207,8 +207,8 @@
 def _limits(fields: Fields) -> CallerLimits:
     defaults = CallerLimits()
     return CallerLimits(
-        fields.whole('max_header_bytes', defaults.header_bytes),
-        fields.whole('max_body_bytes', defaults.body_bytes),
+        fields.integer('max_header_bytes', defaults.header_bytes),
+        fields.integer('max_body_bytes', defaults.body_bytes),
         fields.number('header_timeout_ms', defaults.header_s * MS_PER_S)
         / MS_PER_S,
         fields.number('idle_timeout_ms', defaults.idle_s * MS_PER_S) / MS_PER_S,
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -57,7 +57,7 @@
         clock = BootClock()
         self._clock = clock
         self._store = StoreAccess(cfg.store, clock)
-        lease = KeyLease(clock, cfg.keys_last_s)
+        lease = KeyLease(clock, cfg.key_lease_s)
         self._holder = operator.CatalogHolder(lease)
         self._fleet = FleetView()
         self._discovery = discovery.Discovery(self._fleet, clock)
@@ -176,7 +176,7 @@
         serve_catalog = self._catalogs.serve
         self._serve_at(self._cfg.peer_listen, CATALOG_PATH, serve_catalog)
 
-    def listening(self) -> None:
+    def on_listening(self) -> None:
         """Start the readiness endpoint that the platform polls."""
         self._serve_at(self._cfg.readiness_listen, '/.*', self._readiness)
 
@@ -184,7 +184,7 @@
         """Make the readiness endpoint fail."""
         self._draining = True
 
-    def finish(self, bound_s: float) -> None:
+    def hand_over(self, bound_s: float) -> None:
         """Hand over the jobs and leave the membership list."""
         self._jobs.finish(bound_s - self._cfg.store.timeout_s)
 
--- a/cactusridge/platform/row_codec.py
+++ b/cactusridge/platform/row_codec.py
@@ -28,7 +28,7 @@
 def parse_answer(fields: Fields) -> Answer:
     """Decode the fields of an answer; raise StoreUnavailable."""
     try:
-        entries, version = fields.listed('rows'), fields.whole('ver')
+        entries, version = fields.items_of('rows'), fields.integer('ver')
     except UnreadableField as exc:
         raise unreadable_answer(exc) from exc
     rows, unnamed = parse_rows(entries)
--- a/cactusridge/platform/rows.py
+++ b/cactusridge/platform/rows.py
@@ -130,14 +130,14 @@
     def _version(self, answer: PlatformAnswer) -> int:
         """Return a transaction's version; raise UnreadableField."""
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
-            rows, _ = parse_rows(_decoded(answer).listed('rows'))
+            rows, _ = parse_rows(_decoded(answer).items_of('rows'))
             raise ConditionFailed(rows)
         if answer.status != HTTPStatus.OK:
             raise StoreUnavailable(
                 f'table status {answer.status}: {answer.body[:MAX_SHOWN]!r}',
                 retry_after_s=RETRY_S,
             )
-        return _decoded(answer).whole('ver')
+        return _decoded(answer).integer('ver')
 
     def _read_one(self, key: str, priority: Priority) -> Row:
         location = key_fields(key)
--- a/cactusridge/platform/store_access.py
+++ b/cactusridge/platform/store_access.py
@@ -33,7 +33,7 @@
         self._host_clock = clock
         self.contact = StoreContact(clock)
         address = parse_address(cfg.address)
-        call_timeout = ReplyTimeout(cfg.least_s, cfg.timeout_s)
+        call_timeout = ReplyTimeout(cfg.min_timeout_s, cfg.timeout_s)
         self._call_link = self._link(address, call_timeout)
         # The store holds a watch for up to WAIT_S; the link waits longer.
         wait_s = cfg.timeout_s + WAIT_S
--- a/cactusridge/quarantine/strike_row.py
+++ b/cactusridge/quarantine/strike_row.py
@@ -27,6 +27,6 @@
     return Strike(
         fields.text('fingerprint'),
         fields.text('life'),
-        fields.word('stage', Stage),
+        fields.enum_value('stage', Stage),
         fields.number('at'),
     )
--- a/cactusridge/quarantine/suspects.py
+++ b/cactusridge/quarantine/suspects.py
@@ -109,4 +109,4 @@
         for removed in self._quarantined - quarantined:
             logs.emit(events.QUARANTINE_ENDED, fingerprint=removed)
         self._quarantined = quarantined
-        metrics.HELD_BACK.set({}, len(quarantined))
+        metrics.QUARANTINED_REQUESTS.set({}, len(quarantined))
--- a/cactusridge/serving.py
+++ b/cactusridge/serving.py
@@ -24,7 +24,7 @@
     def start(self) -> None:
         """Start the greenlets."""
 
-    def listening(self) -> None:
+    def on_listening(self) -> None:
         """Handle that callers can connect; the role is not ready before."""
 
     @abc.abstractmethod
@@ -39,7 +39,7 @@
         return LateRefusal()
 
     @abc.abstractmethod
-    def finish(self, bound_s: float) -> None:
+    def hand_over(self, bound_s: float) -> None:
         """Hand over background work within ``bound_s`` seconds.
 
         Requests are still served in the meantime.
@@ -59,7 +59,7 @@
         role.late_application(),
     )
     server.start()
-    role.listening()
+    role.on_listening()
     logs.emit(events.LISTENING)
     stop.wait()
     return drain(cfg, role, server)
@@ -68,17 +68,17 @@
 def drain(cfg: CommonSettings, role: Role, server: Server) -> ExitStatus:
     """Stop without interrupting a request.
 
-    This takes at most ``readiness_delay_s`` plus ``drain_s`` seconds. The
+    This takes at most ``readiness_delay_s`` plus ``drain_limit_s`` seconds. The
     limit is checked by a clock, because sleeps take longer on a busy host
     and the sender of the stop signal kills the process after its own limit.
     """
     logs.emit(events.DRAIN_BEGUN, active=server.active)
     clock = BootClock()
-    end_at = clock.monotonic() + cfg.readiness_delay_s + cfg.drain_s
+    end_at = clock.monotonic() + cfg.readiness_delay_s + cfg.drain_limit_s
     role.begin_drain()
     # From now on each reply closes its connection.
     server.draining = True
-    finishing = gevent.spawn(role.finish, cfg.drain_s)
+    finishing = gevent.spawn(role.hand_over, cfg.drain_limit_s)
     # The load balancer and the entries notice the drain after a delay;
     # until then requests are still accepted.
     gevent.sleep(cfg.readiness_delay_s)
--- a/cactusridge/settings/rows.py
+++ b/cactusridge/settings/rows.py
@@ -40,7 +40,7 @@
 
 def parse_head_version(row: Row) -> int:
     """Return the tree version in the head row; raise UnreadableField."""
-    return Fields(row.value).whole('version')
+    return Fields(row.value).integer('version')
 
 
 def parse_node_change(row: Row) -> Change:
@@ -65,7 +65,7 @@
     raw = fields.mapping('raw', None)
     _validate(path, raw)
     return Change(
-        fields.whole('version'),
+        fields.integer('version'),
         path,
         raw,
         fields.text('who', ''),
--- a/cactusridge/sidecar/upstream.py
+++ b/cactusridge/sidecar/upstream.py
@@ -18,7 +18,7 @@
 )
 from cactusridge.http import patience
 from cactusridge.http.client import Clients, parse_address
-from cactusridge.http.probe import stays_open
+from cactusridge.http.probe import is_still_open
 from cactusridge.orders import RunOrder, WorkClass
 from cactusridge.sidecar.answer_bodies import (
     IO_ERRORS,
@@ -216,7 +216,7 @@
         except OSError:
             return False
         with sock:
-            return stays_open(sock)
+            return is_still_open(sock)
 
     def _check_id(self, order: RunOrder, head: UpstreamHead) -> None:
         for name, text in head.headers:
--- a/cactusridge/sidecar_dispatch/dispatcher.py
+++ b/cactusridge/sidecar_dispatch/dispatcher.py
@@ -11,7 +11,7 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import (
     CactusridgeError,
-    CallerGone,
+    CallerDisconnected,
     DeadlineExceeded,
     NoReplica,
 )
@@ -223,7 +223,7 @@
         late = self._clock.monotonic() >= dispatch.deadline_at
         if late or not may_repeat or exc.code in NON_RETRYABLE_CODES:
             raise exc
-        if isinstance(exc, CallerGone):
+        if isinstance(exc, CallerDisconnected):
             raise exc
         if not budget.allow(attempts):
             raise exc
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -11,7 +11,7 @@
 from cactusridge import events, logs
 from cactusridge.background import keep_doing, keep_doing_every
 from cactusridge.errors import StoreUnavailable
-from cactusridge.http.awake import listening_clock
+from cactusridge.http.awake import unpaused_clock
 from cactusridge.http.client import Address, parse_address
 from cactusridge.orders import SidecarReport
 from cactusridge.routing.membership import Belief
@@ -48,7 +48,7 @@
         self.changed = Event()
         self._host_list = host_list
         self._client = client
-        self._clock = listening_clock()
+        self._clock = unpaused_clock()
         self._spawn = greenlets.spawn
         self._prober = SidecarProber(cfg, client, tree, self._clock)
         self._sidecars: dict[Address, SidecarHost] = {}
--- a/cactusridge/sidecar_dispatch/sidecar_client.py
+++ b/cactusridge/sidecar_dispatch/sidecar_client.py
@@ -4,7 +4,7 @@
 
 from cactusridge import wire
 from cactusridge.errors import NoReplica, OutcomeUnknown
-from cactusridge.http.awake import PatientTimeout
+from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.client import Address, Clients
 from cactusridge.http.secret import SECRET_HEADER
 from cactusridge.orders import (
@@ -93,7 +93,7 @@
         path: str,
         message: dict[str, object],
     ) -> SidecarReport:
-        limit = PatientTimeout(self._timeout_s)
+        limit = UnpausedTimeout(self._timeout_s)
         try:
             with limit:
                 status, report = self._clients.post_json(
@@ -105,11 +105,11 @@
         except IO_ERRORS as exc:
             self.drop(address)
             raise NoReplica(f'{address}: {exc!r}') from exc
-        except PatientTimeout as exc:
+        except UnpausedTimeout as exc:
             if exc is not limit:
                 raise
             self.drop(address)
-            raise NoReplica(f'{address}: {exc.described(path)}') from exc
+            raise NoReplica(f'{address}: {exc.timeout_message(path)}') from exc
         if status != OK:
             raise NoReplica(f'{address}: {wire.encode(report).decode()}')
         return report
--- a/cactusridge/slo/sample.py
+++ b/cactusridge/slo/sample.py
@@ -4,7 +4,7 @@
 
 from cactusridge import metrics
 from cactusridge.clock import Clock
-from cactusridge.errors import CactusridgeError, CallerGone
+from cactusridge.errors import CactusridgeError, CallerDisconnected
 from cactusridge.settings.catalog import Service
 from cactusridge.slo.recorder import SloRecorder
 
@@ -60,7 +60,7 @@
 
     def record_error(self, exc: CactusridgeError) -> None:
         """Record a request that was answered with the error ``exc``."""
-        if isinstance(exc, CallerGone):
+        if isinstance(exc, CallerDisconnected):
             self.record_disconnect()
             return
         good = exc.status < SERVER_FAULT and exc.status != TOO_MANY
--- a/cactusridge/startup/models.py
+++ b/cactusridge/startup/models.py
@@ -24,14 +24,14 @@
 class Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Base of start settings; unknown keys are rejected.
 
-    Values are validated when a file is loaded and by ``made_of``, but not
+    Values are validated when a file is loaded and by ``from_values``, but not
     by the constructor. The models use msgspec because importing pydantic
     takes a large part of the start-up time, and an entry has to serve soon
     after its start.
     """
 
     @classmethod
-    def made_of(cls, **raw: Any) -> Self:
+    def from_values(cls, **raw: Any) -> Self:
         """Return settings built from plain values.
 
         Raises msgspec.ValidationError if a value is invalid.
@@ -67,7 +67,7 @@
         return parse_address(self.listen)
 
     @property
-    def drain_s(self) -> float:
+    def drain_limit_s(self) -> float:
         """Return how long in-flight requests may drain, in seconds."""
         return self.drain_timeout_s
 
@@ -88,7 +88,7 @@
     max_pause_s: PositiveSeconds = 4
 
     @property
-    def least_s(self) -> float:
+    def min_timeout_s(self) -> float:
         """The lower bound of the store call timeout, in seconds."""
         return self.least_timeout_s or self.timeout_s
 
@@ -198,7 +198,7 @@
     policy: DirectPolicy = DirectPolicy()
 
     @property
-    def keys_last_s(self) -> float | None:
+    def key_lease_s(self) -> float | None:
         """How long the last confirmed keys stay valid, in seconds.
 
         None means without limit.
@@ -208,7 +208,7 @@
         )
 
     @property
-    def drain_s(self) -> float:
+    def drain_limit_s(self) -> float:
         """Return how long in-flight requests may drain, in seconds.
 
         The limit lets the process exit before the platform kills it.
--- a/cactusridge/store/breaker.py
+++ b/cactusridge/store/breaker.py
@@ -45,7 +45,7 @@
             return 0
         return max(0, self._blocked_until - self._clock.monotonic())
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful call and close the breaker."""
         if self.open:
             logs.emit(events.STORE_BACK)
@@ -53,7 +53,7 @@
         self._failures = 0
         self._pause_s = float(FIRST_PAUSE_S)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record a failed call; FAILURES_TO_OPEN in a row open the breaker."""
         self._failures += 1
         if not self.open:
--- a/cactusridge/store/contact.py
+++ b/cactusridge/store/contact.py
@@ -29,7 +29,7 @@
         self._clock = clock
         self._last_answer_at = clock.monotonic()
 
-    def answered(self) -> None:
+    def record_reply(self) -> None:
         """Record an answer of the store, which may end an outage."""
         now = self._clock.monotonic()
         if now - self._last_answer_at > OUTAGE_S:
--- a/cactusridge/store/fields.py
+++ b/cactusridge/store/fields.py
@@ -41,14 +41,14 @@
         """Return a string."""
         return self._of(str, name, default)
 
-    def whole(self, name: str, default: Any = REQUIRED) -> int:
+    def integer(self, name: str, default: Any = REQUIRED) -> int:
         """Return a non-negative integer."""
         found = self._of(int, name, default)
         if found is not default and not is_count(found):
             raise UnreadableField(f'{name} is not a non-negative integer')
         return found
 
-    def signed(self, name: str) -> int:
+    def signed_integer(self, name: str) -> int:
         """Return an integer, which may be negative."""
         found = self._of(int, name, REQUIRED)
         if not is_integer(found):
@@ -68,7 +68,7 @@
         """Return a bool."""
         return self._of(bool, name, default)
 
-    def listed(self, name: str, default: Any = REQUIRED) -> list[Any]:
+    def items_of(self, name: str, default: Any = REQUIRED) -> list[Any]:
         """Return a list whose entries are not checked."""
         return self._of(list, name, default)
 
@@ -76,7 +76,7 @@
         """Return a dict whose values are not checked."""
         return self._of(dict, name, default)
 
-    def word(self, name: str, words: type[WordT]) -> WordT:
+    def enum_value(self, name: str, words: type[WordT]) -> WordT:
         """Return the member of the enum ``words`` with the field's value."""
         found = self.text(name)
         try:
@@ -84,9 +84,9 @@
         except ValueError as exc:
             raise UnreadableField(f'{name}: {exc}') from exc
 
-    def wholes(self, name: str) -> list[int]:
+    def counts_list(self, name: str) -> list[int]:
         """Return a list of non-negative integers."""
-        found = self.listed(name)
+        found = self.items_of(name)
         if not all(map(is_count, found)):
             raise UnreadableField(f'{name} is not a list of counts')
         return found
--- a/cactusridge/store/link.py
+++ b/cactusridge/store/link.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self.breaker = Breaker(clock, rng, max_pause_s)
         self.budget = StoreBudget(clock, calls_per_s)
-        self._clients = Clients(CONNECT_TIMEOUT_S, timeout.most_s)
+        self._clients = Clients(CONNECT_TIMEOUT_S, timeout.max_s)
         self._contact = contact or StoreContact(clock)
 
     def call(
@@ -82,8 +82,8 @@
         if answer.status >= SERVER_FAULT:
             self._failed()
             raise StoreUnavailable(retry_after_s=self.breaker.wait_s() + 1)
-        self.breaker.succeeded()
-        self._contact.answered()
+        self.breaker.record_success()
+        self._contact.record_reply()
         metrics.STORE_CALLS.inc({'outcome': 'answered'})
         return answer
 
@@ -135,7 +135,7 @@
             ):
                 tag = resp.get('etag') or ''
                 raw = resp.read()
-                self._timeout.answered(self._clock.monotonic() - sent_at)
+                self._timeout.record_reply(self._clock.monotonic() - sent_at)
                 return PlatformAnswer(resp.status_code, raw, tag)
         except ConnectionRefusedError as exc:
             self._failed()
@@ -145,7 +145,7 @@
         except gevent.Timeout as exc:
             if exc is not limit:
                 raise
-            self._timeout.silent()
+            self._timeout.record_timeout()
             raise WriteUnknown(
                 'the store sent no reply before the timeout'
             ) from exc
@@ -154,4 +154,4 @@
         metrics.STORE_CALLS.inc({'outcome': 'failed'})
         # The idle connections to the address may be broken as well.
         self._clients.drop(self.address)
-        self.breaker.failed()
+        self.breaker.record_failure()
--- a/cactusridge/store/reply_timeout.py
+++ b/cactusridge/store/reply_timeout.py
@@ -21,22 +21,22 @@
 class ReplyTimeout:
     """Adapts the timeout to the store's reply times; all in seconds."""
 
-    def __init__(self, least_s: float, most_s: float) -> None:
-        """Start at ``least_s``, and never exceed ``most_s``."""
-        self._least_s = min(least_s, most_s)
-        self.most_s = most_s
+    def __init__(self, min_s: float, max_s: float) -> None:
+        """Start at ``min_s``, and never exceed ``max_s``."""
+        self._min_s = min(min_s, max_s)
+        self.max_s = max_s
         self._slowest_s = float(0)
 
     @property
     def seconds(self) -> float:
         """The timeout of the next call, in seconds."""
         wait_s = SLOWEST_MULTIPLE * self._slowest_s
-        return min(self.most_s, max(self._least_s, wait_s))
+        return min(self.max_s, max(self._min_s, wait_s))
 
-    def answered(self, took_s: float) -> None:
+    def record_reply(self, took_s: float) -> None:
         """Record a reply that was received after ``took_s`` seconds."""
         self._slowest_s = max(took_s, DECAY * self._slowest_s)
 
-    def silent(self) -> None:
+    def record_timeout(self) -> None:
         """Record that no reply was received within the timeout."""
         self._slowest_s = GROWTH * self.seconds / SLOWEST_MULTIPLE
--- a/cactusridge/store/row_reader.py
+++ b/cactusridge/store/row_reader.py
@@ -30,15 +30,15 @@
         Raises UnreadableRecord if the row cannot be parsed.
         """
         if row.unreadable:
-            self.refuse(row, 'its value is not a JSON object')
+            self.raise_unreadable(row, 'its value is not a JSON object')
         if row.value is None:
             return None
         try:
             return parse(row)
         except UnreadableField as exc:
-            self.refuse(row, str(exc))
+            self.raise_unreadable(row, str(exc))
 
-    def there(self, row: Row) -> bool:
+    def exists(self, row: Row) -> bool:
         """Return whether a row exists; raise UnreadableRecord."""
         return self.read(row, _value) is not None
 
@@ -59,13 +59,13 @@
             if found is not None:
                 yield found
 
-    def report(self, row: Row, error: str) -> None:
+    def log_unreadable(self, row: Row, error: str) -> None:
         """Log that a row cannot be parsed."""
         self._reports.note(row.key, row.version, error)
 
-    def refuse(self, row: Row, error: str) -> NoReturn:
+    def raise_unreadable(self, row: Row, error: str) -> NoReturn:
         """Log that a row cannot be parsed and raise UnreadableRecord."""
-        self.report(row, error)
+        self.log_unreadable(row, error)
         raise UnreadableRecord(f'{row.key} cannot be read: {error}')
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -192,7 +192,7 @@
     def _next(self, req: Req, stream: Stream) -> int:
         number = None
         while number is None:
-            if stream.gone.is_set() or req.caller_gone():
+            if stream.gone.is_set() or req.caller_disconnected():
                 sever(req)
                 raise EngineCrashed
             with contextlib.suppress(Empty):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -84,7 +84,7 @@
         """Start a sidecar for an engine and for the plain service."""
         to_engine = self.forward(engine)
         plain = self.forward(self.plain.address)
-        cfg = SidecarSettings.made_of(
+        cfg = SidecarSettings.from_values(
             listen=str(self._ports.give()),
             zone='a',
             internal_secret=SECRET,
@@ -113,7 +113,7 @@
 
     def add_entry(self, **options: Any) -> Served:
         """Start an entry and publish it in the host list."""
-        cfg = EntrySettings.made_of(
+        cfg = EntrySettings.from_values(
             listen=str(self._ports.give()),
             zone='a',
             internal_secret=SECRET,
--- a/tests/spoilt_table.py
+++ b/tests/spoilt_table.py
@@ -19,7 +19,7 @@
         super().__init__()
         self.unreadable: set[str] = set()
 
-    def spoil(self, key: str, value: Any = None) -> None:
+    def corrupt(self, key: str, value: Any = None) -> None:
         """Store ``value`` at ``key``; None stores undecodable bytes."""
         self.store.apply([[key, {} if value is None else value]])
         if value is None:
@@ -40,7 +40,7 @@
         return row
 
 
-def spoilings(
+def corruptions(
     value: dict[str, Any],
     optional: tuple[str, ...] = (),
 ) -> Iterator[tuple[str, Any]]:
--- a/tests/test_awake.py
+++ b/tests/test_awake.py
@@ -10,8 +10,8 @@
 from cactusridge.http.awake import (
     MAX_STEP_S,
     TICK_S,
-    PatientTimeout,
-    listening_clock,
+    UnpausedTimeout,
+    unpaused_clock,
 )
 
 # Seconds; far longer than the part of a pause that counts.
@@ -30,14 +30,14 @@
 
     def setUp(self):
         """Hold the clock of the test's event loop."""
-        self.clock = listening_clock()
+        self.clock = unpaused_clock()
         self.clock.hold()
         self.addCleanup(self.clock.release)
         gevent.sleep(MAX_STEP_S)
 
     def test_one_for_each_loop(self):
         """All timeouts of an event loop use the same clock."""
-        self.assertIs(self.clock, listening_clock())
+        self.assertIs(self.clock, unpaused_clock())
 
     def test_pause(self):
         """A pause counts as one step, however often the clock is read."""
@@ -75,39 +75,39 @@
     @params(0, 0.05)
     def test_over(self, seconds):
         """Without a pause the timeout raises the given exception."""
-        with self.assertRaises(Failed), PatientTimeout(seconds, Failed()):
+        with self.assertRaises(Failed), UnpausedTimeout(seconds, Failed()):
             gevent.sleep(60)
 
     def test_itself(self):
         """Without a given exception the timeout raises itself."""
-        limit = PatientTimeout(0.05)
-        with self.assertRaises(PatientTimeout) as caught, limit:
+        limit = UnpausedTimeout(0.05)
+        with self.assertRaises(UnpausedTimeout) as caught, limit:
             gevent.sleep(60)
         self.assertIs(limit, caught.exception)
         self.assertIn(
-            'a word: timed out after 0.05 s', limit.described('a word')
+            'a word: timed out after 0.05 s', limit.timeout_message('a word')
         )
 
     def test_never(self):
         """A timeout of None never expires."""
-        with PatientTimeout(None, Failed()):
+        with UnpausedTimeout(None, Failed()):
             gevent.sleep(0.05)
 
     def test_done_in_time(self):
         """A timeout that is cancelled in time does not expire later."""
-        with PatientTimeout(0.05, Failed()):
+        with UnpausedTimeout(0.05, Failed()):
             gevent.sleep(0)
         gevent.sleep(0.1)
 
     def test_nested(self):
         """An outer timeout expires within an inner one."""
-        inner = PatientTimeout(60)
-        with self.assertRaises(Failed), PatientTimeout(0.05, Failed()), inner:
+        inner = UnpausedTimeout(60)
+        with self.assertRaises(Failed), UnpausedTimeout(0.05, Failed()), inner:
             gevent.sleep(60)
 
     def test_pause(self):
         """A pause longer than the timeout does not make it expire."""
-        with PatientTimeout(0.1, Failed()):
+        with UnpausedTimeout(0.1, Failed()):
             gevent.sleep(TURN_S)
             really_sleep(PAUSE_S)
             gevent.sleep(TURN_S)
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -10,7 +10,7 @@
 
 from cactusridge import events
 from cactusridge.http.client import Clients
-from cactusridge.http.patience import PatientSocket
+from cactusridge.http.patience import UnpausedSocket
 from standins.local_fleet import YAZMAN
 from standins.waiting import wait_for
 from tests.late_case import (
@@ -78,7 +78,7 @@
 
         taking = gevent.spawn(take)
         self.late_by(0.09)
-        with contextlib.closing(PatientSocket()) as sock:
+        with contextlib.closing(UnpausedSocket()) as sock:
             sock.connect(self.address)
             sock.settimeout(SILENCE_S)
             sock.sendall(bytes(32 * CHUNK))
@@ -88,7 +88,7 @@
     def test_nothing_taken(self):
         """Sending to a peer that receives nothing times out."""
         self.late_by(0.03)
-        with contextlib.closing(PatientSocket()) as sock:
+        with contextlib.closing(UnpausedSocket()) as sock:
             sock.connect(self.address)
             sock.settimeout(SILENCE_S)
             with self.assertRaisesRegex(
@@ -114,7 +114,7 @@
         socks = []
         for near, far in pairs:
             self.addCleanup(far.close)
-            socks.append(PatientSocket(near.family, fileno=near.detach()))
+            socks.append(UnpausedSocket(near.family, fileno=near.detach()))
             self.addCleanup(socks[-1].close)
 
         def read(sock, other):
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -7,7 +7,7 @@
 from gevent.monkey import get_original
 from nose2.tools import params
 
-from cactusridge.clock import AwakeClock, ManualClock
+from cactusridge.clock import ManualClock, UnpausedStepClock
 from cactusridge.http.client import Address, Clients
 from standins.waiting import wait_for
 from tests.rig_case import RigCase
@@ -81,7 +81,7 @@
     def test_pauses_do_not_count(self, steps, wanted):
         """A step longer than a tick counts as one tick."""
         source = ManualClock(time.monotonic())
-        clock = AwakeClock(source, TICK_S)
+        clock = UnpausedStepClock(source, TICK_S)
         began = clock.monotonic()
         for step in steps:
             source.advance(step)
--- a/tests/test_paused.py
+++ b/tests/test_paused.py
@@ -10,7 +10,7 @@
 from cactusridge.errors import NoReplica
 from cactusridge.http.app import App, route
 from cactusridge.http.exchange import json_reply
-from cactusridge.http.patience import PatientSocket
+from cactusridge.http.patience import UnpausedSocket
 from cactusridge.identity import new_id
 from cactusridge.orders import RunOrder, WorkClass
 from cactusridge.sidecar.upstream import Upstream
@@ -36,7 +36,7 @@
         self.address = self.listener.getsockname()
         waiting = socket.create_connection(self.address)
         self.addCleanup(waiting.close)
-        self.sock = PatientSocket()
+        self.sock = UnpausedSocket()
         self.addCleanup(self.sock.close)
 
     def test_paused(self):
@@ -68,7 +68,7 @@
     def setUp(self):
         """Configure short timeouts."""
         super().setUp()
-        self.cfg = SidecarSettings.made_of(
+        self.cfg = SidecarSettings.from_values(
             listen='127.0.0.1:1',
             zone='a',
             internal_secret=SECRET,
--- a/tests/test_reply_timeout.py
+++ b/tests/test_reply_timeout.py
@@ -17,15 +17,15 @@
     def setUp(self):
         """Record one reply with the usual time."""
         self.timeout = ReplyTimeout(LEAST_S, MOST_S)
-        self.timeout.answered(USUAL_S)
+        self.timeout.record_reply(USUAL_S)
 
     def test_lost_answer(self):
         """A lost reply doubles the timeout; ten replies reset it."""
         self.assertEqual(LEAST_S, self.timeout.seconds)
-        self.timeout.silent()
+        self.timeout.record_timeout()
         self.assertEqual(LEAST_S * 2, self.timeout.seconds)
         for _ in range(10):
-            self.timeout.answered(USUAL_S)
+            self.timeout.record_reply(USUAL_S)
         self.assertEqual(LEAST_S, self.timeout.seconds)
 
     @params(0.2, 0.4, 0.9)
@@ -38,14 +38,14 @@
     def test_never_longer_than_allowed(self):
         """The timeout never exceeds its maximum."""
         for _ in range(10):
-            self.timeout.silent()
+            self.timeout.record_timeout()
         self.assertEqual(MOST_S, self.timeout.seconds)
 
     @params(0.1, 3.0)
     def test_fixed(self, took_s):
         """With equal minimum and maximum the timeout is constant."""
         fixed = ReplyTimeout(MOST_S, MOST_S)
-        fixed.answered(took_s)
+        fixed.record_reply(took_s)
         self.assertEqual(MOST_S, fixed.seconds)
 
     def lost_calls(self, takes_s, count):
@@ -53,8 +53,8 @@
         lost = 0
         for _ in range(count):
             if takes_s > self.timeout.seconds:
-                self.timeout.silent()
+                self.timeout.record_timeout()
                 lost += 1
             else:
-                self.timeout.answered(takes_s)
+                self.timeout.record_reply(takes_s)
         return lost
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -118,7 +118,7 @@
         conn = self.ask(b'')
         server.active += 1
         draining = gevent.spawn(server.drain, 5)
-        wait_for('it is late', lambda: server.drained)
+        wait_for('it is late', lambda: server.rejects_requests)
         conn.sendall(
             b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\nx'
         )
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -27,7 +27,7 @@
         """Switch to other greenlets, as a real start may."""
         gevent.sleep(0)
 
-    def listening(self):
+    def on_listening(self):
         """Connect as a caller does."""
         socket.create_connection(self.address, 1).close()
         self.connected = True
@@ -35,7 +35,7 @@
     def begin_drain(self):
         """Do nothing."""
 
-    def finish(self, bound_s):
+    def hand_over(self, bound_s):
         """Do nothing."""
 
 
@@ -43,7 +43,7 @@
     """The start of a role."""
 
     def test_listening_means_connectable(self):
-        """Callers can connect when ``listening`` is called."""
+        """Callers can connect when ``on_listening`` is called."""
         ports = Ports()
         self.addCleanup(ports.close)
         address = ports.give()
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -157,8 +157,8 @@
         """Return a long pause."""
         return 60
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Stay open."""
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Stay open."""
--- a/tests/test_spoilt_batch.py
+++ b/tests/test_spoilt_batch.py
@@ -25,7 +25,7 @@
 )
 from tests.memory_objects import MemoryObjects
 from tests.rig_case import RigCase
-from tests.spoilt_table import SpoiltTable, spoilings
+from tests.spoilt_table import SpoiltTable, corruptions
 
 REPORT = Priority.report
 CFG = BatchSettings(shards=1)
@@ -106,44 +106,44 @@
 class TestSpoiltBatch(SpoiltBatchCase):
     """Unreadable rows of jobs, progress, cancellations and spans."""
 
-    @params(*spoilings(JOB._asdict(), ('job_class',)))
+    @params(*corruptions(JOB._asdict(), ('job_class',)))
     def test_job(self, name, value):
         """An unreadable job is not reported as missing; others are listed."""
         other = JOB._replace(id='k')._asdict()
-        self.table.spoil(job_key('t', 'k'), other)
-        self.table.spoil(job_key('t', 'j'), value)
+        self.table.corrupt(job_key('t', 'k'), other)
+        self.table.corrupt(job_key('t', 'j'), value)
         self.check_refused(lambda: self.jobs.get('t', 'j'))
         self.check_refused(lambda: self.jobs.cancel('t', 'j'))
         listed = [job.id for job in self.jobs.page('t', '', 9)]
         self.assertEqual(['k'], listed)
 
-    @params(*spoilings(Progress(0, 0, 0, 0.5)._asdict()))
+    @params(*corruptions(Progress(0, 0, 0, 0.5)._asdict()))
     def test_progress(self, name, value):
         """Unreadable progress is neither reported nor overwritten."""
-        self.table.spoil(progress_key('j'), value)
+        self.table.corrupt(progress_key('j'), value)
         self.check_refused(lambda: self.reader.status(JOB))
         self.check_refused(lambda: self.held.close(cancelled=False))
 
-    @params(*spoilings({'when': 0.5}))
+    @params(*corruptions({'when': 0.5}))
     def test_cancel(self, name, value):
         """A job with an unreadable cancel row is not shown as in progress."""
-        self.table.spoil(cancel_key('j'), value)
+        self.table.corrupt(cancel_key('j'), value)
         self.check_refused(lambda: self.reader.status(JOB))
 
-    @params(*spoilings(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
+    @params(*corruptions(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
     def test_span(self, name, value):
         """An unreadable span makes reads fail, and its holder loses it."""
-        self.table.spoil(self.held.key, value)
+        self.table.corrupt(self.held.key, value)
         self.check_refused(lambda: self.reader.status(JOB))
         self.check_refused(lambda: list(self.reader.spans(JOB)))
         with self.assertRaises(LeaseLost):
             self.held.renew()
 
-    @params(*spoilings(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
+    @params(*corruptions(SPAN._asdict(), WITH_DEFAULTS), *SPOILT_DONE)
     def test_closed_span(self, name, value):
         """An unreadable closed span makes reads of the results fail."""
         self.table.store.apply([[self.held.key, None]])
-        self.table.spoil(done_key('j', 0), value)
+        self.table.corrupt(done_key('j', 0), value)
         self.check_refused(lambda: list(self.reader.spans(JOB)))
 
 
@@ -152,21 +152,21 @@
 
     def test_close(self):
         """Closing a span does not overwrite an unreadable closed row."""
-        self.table.spoil(done_key('j', 0))
+        self.table.corrupt(done_key('j', 0))
         self.check_refused(lambda: self.held.close(cancelled=False))
 
 
 class TestSpoiltHours(unittest.TestCase):
     """Rows of merged hours in the history of objectives."""
 
-    @params(*spoilings({'object': 'name'}))
+    @params(*corruptions({'object': 'name'}))
     def test_hour(self, name, value):
         """An unreadable or foreign row does not hide the other hours."""
         table = SpoiltTable()
         for hour in (3600, 7200):
-            table.spoil(hour_key(hour), {'object': f'{hour}'})
-        table.spoil(hour_key(3600), value)
-        table.spoil('slo-hours/foreign', {'object': 'x'})
+            table.corrupt(hour_key(hour), {'object': f'{hour}'})
+        table.corrupt(hour_key(3600), value)
+        table.corrupt('slo-hours/foreign', {'object': 'x'})
         history = SloHistory(MemoryObjects(), table)
         self.assertEqual({7200: '7200'}, history.merged_hours(0))
 
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -25,7 +25,7 @@
     item,
     spoilt_texts,
 )
-from tests.spoilt_table import spoilings
+from tests.spoilt_table import corruptions
 
 
 class TestSpoiltHead(SpoiltJobCase):
@@ -33,10 +33,10 @@
 
     optional = ('catalog_version', 'organisation')
 
-    @params(*spoilings(head_value(HEAD), optional))
+    @params(*corruptions(head_value(HEAD), optional))
     def test_ledger(self, name, value):
         """The job is not reported as unknown or overwritten."""
-        self.table.spoil(head_key(JOB), value)
+        self.table.corrupt(head_key(JOB), value)
         self.check_refused(lambda: self.ledger.head(JOB))
         self.check_refused(lambda: self.ledger.end(JOB))
         self.check_lost(lambda: self.ledger.release(self.head))
@@ -46,11 +46,11 @@
             self.ledger.accept(HEAD, self.items)
         self.assertEqual(OTHER, self.ledger.head(OTHER).id)
 
-    @params(*spoilings(head_value(HEAD), optional))
+    @params(*corruptions(head_value(HEAD), optional))
     def test_heads(self, name, value):
         """An unreadable head is logged once, and the other heads stay known."""
         heads = JobHeads()
-        self.table.spoil(head_key(JOB), value)
+        self.table.corrupt(head_key(JOB), value)
         rows = self.table.scan('jobs/', Priority.report)
         with emitted() as found:
             for _ in range(3):
@@ -89,12 +89,12 @@
     """Unreadable progress of a job."""
 
     @params(
-        *spoilings(PROGRESS),
+        *corruptions(PROGRESS),
         *((str(each), each) for each in LISTED_ODDLY),
     )
     def test_progress(self, name, value):
         """A job with unreadable progress is not taken over or committed to."""
-        self.table.spoil(progress_key(JOB), value)
+        self.table.corrupt(progress_key(JOB), value)
         self.check_refused(lambda: self.ledger.progress(JOB))
         self.check_refused(lambda: self.ledger.take_over(self.head, 'two', 'l'))
         step = JobChanges([end(1)])
@@ -108,7 +108,7 @@
     def test_items_that_the_job_does_not_have(self):
         """A job is not restored if its progress lists an unknown item."""
         value = {**PROGRESS, 'listed': [0, 3]}
-        self.table.spoil(progress_key(JOB), value)
+        self.table.corrupt(progress_key(JOB), value)
         self.check_refused(lambda: self.restored(self.items))
 
     def test_items_are_missing(self):
@@ -124,7 +124,7 @@
             try:
                 return transact(*call)
             finally:
-                self.table.spoil(progress_key(JOB))
+                self.table.corrupt(progress_key(JOB))
 
         self.table.transact = spoiling
         with self.assertRaises(OutcomeUnknown):
@@ -144,19 +144,19 @@
     )
     def test_rows(self, name, value):
         """Unreadable items are not reported as missing."""
-        self.table.spoil(f'{payload_prefix(JOB)}0000', value)
+        self.table.corrupt(f'{payload_prefix(JOB)}0000', value)
         self.check_refused(lambda: self.ledger.items(JOB))
         self.assertEqual(self.items, self.ledger.items(OTHER))
 
     @params('0001', '0002')
     def test_more_rows(self, number):
         """An additional row makes the payload unreadable."""
-        self.table.spoil(f'{payload_prefix(JOB)}{number}', {'text': '[]'})
+        self.table.corrupt(f'{payload_prefix(JOB)}{number}', {'text': '[]'})
         self.check_refused(lambda: self.ledger.items(JOB))
 
     def test_foreign_row(self):
         """A row whose key is not that of a payload is left out."""
-        self.table.spoil(f'{payload_prefix(JOB)}note', {'text': 'x'})
+        self.table.corrupt(f'{payload_prefix(JOB)}note', {'text': 'x'})
         self.assertEqual(self.items, self.ledger.items(JOB))
 
     @params(None, b'', b'garbled', b'\xff', b'{}', b'[[1]]')
--- a/tests/test_spoilt_members.py
+++ b/tests/test_spoilt_members.py
@@ -20,7 +20,7 @@
 from cactusridge.store.table import Priority
 from tests.emitted import emitted
 from tests.memory_objects import MemoryObjects
-from tests.spoilt_table import SpoiltTable, spoilings
+from tests.spoilt_table import SpoiltTable, corruptions
 
 MEMBER = {'name': 'two', 'life': 'x', 'host': 'h', 'port': 1, 'zone': 'z'}
 OUT_OF_RANGE = (
@@ -57,13 +57,13 @@
 class TestSpoiltMembers(MemberCase):
     """An unreadable row affects only the entry that owns it."""
 
-    @params(*spoilings(MEMBER), *OUT_OF_RANGE)
+    @params(*corruptions(MEMBER), *OUT_OF_RANGE)
     def test_lease(self, name, value):
         """An unreadable row neither ends a lease early nor renews it."""
         life = self.two.me.life
         with emitted() as found:
             for _ in range(3):
-                self.table.spoil(f'{PREFIX}two', value)
+                self.table.corrupt(f'{PREFIX}two', value)
                 self.clock.advance(1)
                 self.three.step()
                 self.one.step()
@@ -77,10 +77,10 @@
         # Two entries each read three unreadable versions of the row.
         self.assertEqual(6, found.count(events.ROW_UNREADABLE))
 
-    @params(*spoilings(MEMBER), *OUT_OF_RANGE)
+    @params(*corruptions(MEMBER), *OUT_OF_RANGE)
     def test_first_reading(self, name, value):
         """The owner of a row unreadable from the start is live for a lease."""
-        self.table.spoil(f'{PREFIX}two', value)
+        self.table.corrupt(f'{PREFIX}two', value)
         fresh = self.session('four')
         fresh.step()
         names = {member.name for member in fresh.members()}
@@ -94,7 +94,7 @@
 
     def test_mended(self):
         """The next renewal of an unreadable row makes the entry a member."""
-        self.table.spoil(f'{PREFIX}two')
+        self.table.corrupt(f'{PREFIX}two')
         self.one.step()
         self.table.unreadable.clear()
         self.clock.advance(LEASE_S - 1)
@@ -149,7 +149,7 @@
             'payload': f'{payload_prefix("job1")}0000',
             'head': head_key('job1'),
         }[table]
-        self.table.spoil(key)
+        self.table.corrupt(key)
         before = self.table.store.row(head_key('job1'))
         with emitted() as found:
             for _ in range(20):
@@ -163,14 +163,14 @@
 
     def test_mended(self):
         """A job is taken over once its rows are readable again."""
-        self.table.spoil(progress_key('job1'))
+        self.table.corrupt(progress_key('job1'))
         mended = self.table.store.row(progress_key('job2'))[1]
         self.clock.advance(2)
         self.look()
         self.clock.advance(2)
         self.look()
         self.table.unreadable.clear()
-        self.table.spoil(progress_key('job1'), mended)
+        self.table.corrupt(progress_key('job1'), mended)
         self.clock.advance(UNREADABLE_PAUSE_S + 2)
         self.look()
         self.assertIn('job1', self.scheduler.jobs)
--- a/tests/test_spoilt_results.py
+++ b/tests/test_spoilt_results.py
@@ -9,7 +9,7 @@
 from cactusridge.jobs.step import JobChanges
 from cactusridge.store.table import Priority
 from tests.spoilt_job_case import JOB, LONG, PARTIAL, RESULT, SpoiltJobCase, end
-from tests.spoilt_table import spoilings
+from tests.spoilt_table import corruptions
 
 
 class TestSpoiltResults(SpoiltJobCase):
@@ -28,18 +28,18 @@
         """Return the ids of the results from the position ``after`` on."""
         return [result.id for result in self.ledger.results(JOB, after)]
 
-    @params(*spoilings(RESULT))
+    @params(*corruptions(RESULT))
     def test_result(self, name, value):
         """An unreadable result ends a page and is not skipped."""
-        self.table.spoil(self.keys[1], value)
+        self.table.corrupt(self.keys[1], value)
         self.assertEqual(['i0'], self.ids(0))
         self.check_refused(lambda: self.ids(1))
         self.assertEqual(['i2'], self.ids(2))
 
-    @params(*spoilings({'more': 'text'}))
+    @params(*corruptions({'more': 'text'}))
     def test_rest_of_an_output(self, name, value):
         """A result with an unreadable continuation row is not returned."""
-        self.table.spoil(self.keys[2], value)
+        self.table.corrupt(self.keys[2], value)
         self.assertEqual(['i0'], self.ids(0))
         self.check_refused(lambda: self.ids(1))
 
@@ -56,15 +56,15 @@
     def test_foreign_row(self, name):
         """A row whose key is not that of a result is left out."""
         prefix = self.keys[0].rpartition('.')[0]
-        self.table.spoil(f'{prefix}.{name}')
+        self.table.corrupt(f'{prefix}.{name}')
         self.assertEqual(['i0', 'i1', 'i2'], self.ids(0))
         self.assertEqual([], self.ids(3))
 
     def test_removed_with_its_job(self):
         """The removal of a job includes its unreadable rows."""
         for key in self.keys:
-            self.table.spoil(key)
-        self.table.spoil(f'{payload_prefix(JOB)}0000')
+            self.table.corrupt(key)
+        self.table.corrupt(f'{payload_prefix(JOB)}0000')
         self.ledger.remove(self.head)
         left = [row.key for row in self.table.scan('', Priority.report)]
         self.assertEqual([], [key for key in left if JOB in key])
@@ -80,15 +80,15 @@
         self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         key = self.table.scan('partial/', Priority.report)[0].key
         prefix = key.rpartition('.')[0]
-        self.table.spoil(f'{prefix}.{name}', PARTIAL)
+        self.table.corrupt(f'{prefix}.{name}', PARTIAL)
         self.assertEqual(parts, self.ledger.checkpoints(JOB))
 
-    @params(*spoilings(PARTIAL), ('last_id', {**PARTIAL, 'last_id': 'x'}))
+    @params(*corruptions(PARTIAL), ('last_id', {**PARTIAL, 'last_id': 'x'}))
     def test_left_out(self, name, value):
         """An unreadable checkpoint does not affect the others."""
         parts = [Checkpoint(0, '7', 'a'), Checkpoint(2, '3', 'b')]
         self.ledger.commit(JOB, self.progress, JobChanges(checkpoints=parts))
         keys = [row.key for row in self.table.scan('partial/', Priority.report)]
-        self.table.spoil(keys[0], value)
-        self.table.spoil(f'{keys[0]}x', PARTIAL)
+        self.table.corrupt(keys[0], value)
+        self.table.corrupt(f'{keys[0]}x', PARTIAL)
         self.assertEqual(parts[1:], self.ledger.checkpoints(JOB))
--- a/tests/test_spoilt_tree.py
+++ b/tests/test_spoilt_tree.py
@@ -13,7 +13,7 @@
 from cactusridge.settings.store import SettingsStore
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.store.table import WriteUnknown
-from tests.spoilt_table import SpoiltTable, spoilings
+from tests.spoilt_table import SpoiltTable, corruptions
 
 HEAD = 'settings/head'
 PATH, OTHER = '/teams/t', '/teams/u'
@@ -67,34 +67,34 @@
         self.assertEqual('unreadable_record', caught.exception.code)
         self.assertEqual(before, self.table.store.version)
 
-    @params(*spoilings({'version': 1}))
+    @params(*corruptions({'version': 1}))
     def test_head(self, name, value):
         """With an unreadable head, the tree stays and writes are refused.
 
         A write that took the head as absent would restart at version 1.
         """
-        self.table.spoil(HEAD, value)
+        self.table.corrupt(HEAD, value)
         self.follower.step()
         self.assertEqual(RAW, self.tree.raw(PATH))
         self.check_refused(lambda: self.store.put(OTHER, RAW, 0, 'w'))
 
-    @params(*spoilings(CHANGE, OPTIONAL), *MISFITS)
+    @params(*corruptions(CHANGE, OPTIONAL), *MISFITS)
     def test_history(self, name, value):
         """An unreadable change in the history does not block later ones."""
         self.store.put(PATH, {'share': 3.0}, 1, 'w')
         self.store.put(OTHER, RAW, 0, 'w')
-        self.table.spoil('settings/history/000000000002', value)
+        self.table.corrupt('settings/history/000000000002', value)
         self.follower.step()
         self.assertEqual(3, self.tree.version)
         self.assertEqual(RAW, self.tree.raw(OTHER))
         self.assertEqual({'share': 3.0}, self.tree.raw(PATH))
 
-    @params(*spoilings(CHANGE, OPTIONAL), *MISFITS)
+    @params(*corruptions(CHANGE, OPTIONAL), *MISFITS)
     def test_node(self, name, value):
         """An unreadable node keeps its last good settings in the tree."""
         self.store.put(OTHER, RAW, 0, 'w')
-        self.table.spoil('settings/history/000000000002', {'odd': 1})
-        self.table.spoil(f'settings/node{PATH}', value)
+        self.table.corrupt('settings/history/000000000002', {'odd': 1})
+        self.table.corrupt(f'settings/node{PATH}', value)
         self.follower.step()
         self.assertEqual(2, self.tree.version)
         self.assertEqual(RAW, self.tree.raw(PATH))
@@ -112,7 +112,7 @@
 
         def spoiling(*call):
             transact(*call)
-            self.table.spoil(HEAD)
+            self.table.corrupt(HEAD)
             raise WriteUnknown
 
         self.table.transact = spoiling
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -77,13 +77,13 @@
     )
     def test_drain_is_bounded(self, grace_s, delay_s, drain_s, expected):
         """Requests in flight get the grace that the readiness delay leaves."""
-        cfg = DirectEntrySettings.made_of(
+        cfg = DirectEntrySettings.from_values(
             **DIRECT_ENTRY,
             grace_s=grace_s,
             readiness_delay_s=delay_s,
             drain_timeout_s=drain_s,
         )
-        self.assertAlmostEqual(expected, cfg.drain_s)
+        self.assertAlmostEqual(expected, cfg.drain_limit_s)
 
     def test_last_request_taken(self):
         """As deployed, no request is accepted later than 3 s after the signal.
--- a/tests/test_stop_serving.py
+++ b/tests/test_stop_serving.py
@@ -50,7 +50,7 @@
     def begin_drain(self):
         """Do nothing."""
 
-    def finish(self, bound_s):
+    def hand_over(self, bound_s):
         """Do nothing: there is no background work."""
 
     def close(self):
@@ -66,7 +66,7 @@
         ports = Ports()
         self.addCleanup(ports.close)
         address = ports.give()
-        cfg = SidecarSettings.made_of(
+        cfg = SidecarSettings.from_values(
             listen=str(address),
             zone='z',
             internal_secret=SECRET,
@@ -78,7 +78,7 @@
         server.start()
         self.addCleanup(server.stop, 0)
         role.begin_drain()
-        server.drained = True
+        server.rejects_requests = True
         order = RunOrder(
             id='late',
             incarnation='any',
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -44,7 +44,7 @@
     def read(self, after_s):
         """Advance the clock by ``after_s`` and answer the watch."""
         self.clock.advance(after_s)
-        self.contact.answered()
+        self.contact.record_reply()
         self.follower.step()
 
     @params((OUTAGE_S, []), (OUTAGE_S + 1, [OUTAGE_S + 1]))
@@ -62,7 +62,7 @@
         self.read(0)
         for _ in range(5):
             self.clock.advance(1)
-            self.contact.answered()
+            self.contact.record_reply()
         self.read(1)
         self.assertEqual([], self.listener.returns)
 
@@ -70,7 +70,7 @@
         """Without any answer there is one outage, ended by the next one."""
         self.read(0)
         self.clock.advance(8)
-        self.contact.answered()
+        self.contact.record_reply()
         back_at = self.clock.monotonic()
         self.read(1)
         self.read(1)
@@ -89,18 +89,18 @@
         """The time starts with the first answer, not with the process."""
         self.clock.advance(1)
         self.assertEqual(0, self.contact.lasts_s())
-        self.contact.answered()
+        self.contact.record_reply()
         self.assertEqual(0, self.contact.lasts_s())
 
     def test_in_an_outage_and_after_it(self):
         """The time is 0 during an outage and restarts at its end."""
-        self.contact.answered()
+        self.contact.record_reply()
         for _ in range(3):
             self.clock.advance(1)
-            self.contact.answered()
+            self.contact.record_reply()
         self.assertEqual(3, self.contact.lasts_s())
         self.clock.advance(OUTAGE_S + 1)
         self.assertEqual(0, self.contact.lasts_s())
-        self.contact.answered()
+        self.contact.record_reply()
         self.clock.advance(1)
         self.assertEqual(1, self.contact.lasts_s())
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -114,7 +114,7 @@
         contact = StoreContact(clock)
         follower = TableFollower(watch, 't', ['t//'], listener, clock, contact)
         clock.advance(OUTAGE_S + 1)
-        contact.answered()
+        contact.record_reply()
         watch.rows = [Row('t//a', {}, 1), Row('t//b', {}, 1)]
         with emitted() as found:
             follower.step()
@@ -147,5 +147,5 @@
         clock = ManualClock()
         breaker = Breaker(clock, random.Random(1), 0.3)
         for _ in range(40):
-            breaker.failed()
+            breaker.record_failure()
             self.assertLessEqual(breaker.wait_s(), 0.3)
