--- a/cactusridge/sidecar/upstream.py
+++ b/cactusridge/sidecar/upstream.py
@@ -20,7 +20,7 @@
 from cactusridge.http.client import Clients, parse_address
 from cactusridge.http.probe import is_still_open
 from cactusridge.orders import RunOrder, WorkClass
-from cactusridge.sidecar.answer_bodies import (
+from cactusridge.sidecar.response_bodies import (
     IO_ERRORS,
     read_available,
     read_blocks,
