--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from cactusridge import wire
-from cactusridge.entry.answering import open_response, response_headers
 from cactusridge.entry.request_fields import (
     forwarded_headers,
     read_request_fields,
 )
+from cactusridge.entry.responses import open_response, response_headers
 from cactusridge.errors import BadRequest, CactusridgeError
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
@@ -16,7 +16,7 @@
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
 from cactusridge.sidecar_dispatch.parts import Parts
-from cactusridge.slo.sample import AnswerTimer
+from cactusridge.slo.sample import ResponseTimer
 
 OK = 200
 PREFIX_CHARS = 512
@@ -112,24 +112,26 @@
         if dispatch.streamed and attempt.status == OK:
             blocks = self._stream(attempt, response.timer)
             return Reply(OK, response_headers(attempt), blocks)
-        return response.whole()
+        return response.as_reply()
 
-    def _stream(self, attempt: Attempt, timer: AnswerTimer) -> Iterator[bytes]:
+    def _stream(
+        self, attempt: Attempt, timer: ResponseTimer
+    ) -> Iterator[bytes]:
         """Forward the stream; send an error event if the stream breaks."""
         try:
             for block in attempt.blocks():
-                timer.block(block)
+                timer.record_block(block)
                 yield block
         except CactusridgeError as exc:
-            timer.refused(exc)
+            timer.record_error(exc)
             yield ERROR_EVENT % wire.encode({'error': exc.body()})
             # The connection is closed without the closing chunk, so that
             # no caller takes this response for a complete one.
             raise StreamBroken from exc
         except GeneratorExit:
-            timer.abandoned()
+            timer.record_disconnect()
             raise
-        timer.finished(OK)
+        timer.record_complete(OK)
 
     def _validate_prompt(self, req: Req, message: dict[str, Any]) -> None:
         field = 'messages' if 'chat' in req.path else 'prompt'
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -2,11 +2,11 @@
 
 from urllib.parse import quote
 
-from cactusridge.entry.answering import open_response
 from cactusridge.entry.request_fields import (
     forwarded_headers,
     read_request_fields,
 )
+from cactusridge.entry.responses import open_response
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req
 from cactusridge.settings.catalog import Service
@@ -73,7 +73,7 @@
             buffering=Buffering.whole,
             share=fields.share,
         )
-        return open_response(self._parts, req, dispatch).whole()
+        return open_response(self._parts, req, dispatch).as_reply()
 
 
 def _with_query(path: str, req: Req) -> str:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -192,7 +192,7 @@
     def _next_token(self, req: Req, stream: Stream) -> int:
         number = None
         while number is None:
-            if stream.ended.is_set() or req.caller_gone():
+            if stream.ended.is_set() or req.caller_disconnected():
                 close_connection(req)
                 raise EngineCrashed
             with contextlib.suppress(Empty):
