--- a/cactusridge/batch/placer.py
+++ b/cactusridge/batch/placer.py
@@ -102,7 +102,7 @@
         replicas = {
             replica.key: replica for replica in self._fleet.replicas(service)
         }
-        allowed = self._outliers.allowed(replicas)
+        allowed = self._outliers.selectable(replicas)
         entries = len(self._fleet.entry_names())
         remaining = [
             (self._remaining_share(replicas[key], entries), key)
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -65,7 +65,8 @@
         """
         service = self._service(call.route)
         ready = {
-            replica.life: replica for replica in self._fleet.ready(service)
+            replica.incarnation: replica
+            for replica in self._fleet.ready(service)
         }
         fresh = set(ready) - set(progress.tried) or set(ready)
         if not fresh:
@@ -73,17 +74,18 @@
                 f'no replica of {service} is ready',
                 retry_after_s=NO_REPLICA_RETRY_S,
             )
-        allowed = self._runner.health.allowed(ready) & fresh
+        allowed = self._runner.health.selectable(ready) & fresh
         loads = self._runner.loads
-        near = self._cells.of_service(service).near
+        local = self._cells.of_service(service).local
         compared = select_candidates(
             allowed or fresh,
-            near,
-            loads.offered(),
+            local,
+            loads.offered_replicas(),
             self._rng,
         )
         choices = [
-            Choice(ready[key], loads.at(key), key in near) for key in compared
+            Choice(ready[key], loads.total_at(key), key in local)
+            for key in compared
         ]
         best = self._policies.placing.choose(choices, self._zone, self._rng)
         self._check_wait(call, best)
@@ -101,7 +103,7 @@
         Raises ConnectFailed if the replica could not be reached, and
         OutcomeUnknown if the connection broke while sending.
         """
-        progress.tried.append(replica.life)
+        progress.tried.append(replica.incarnation)
         left_s = call.deadline_at - self._clock.monotonic()
         try:
             run = self._runner.open(
@@ -136,7 +138,7 @@
         limit_s = None
         if may_retry(call, progress):
             limit_s = tolerated_silence_s(
-                self._runner.loads.at(run.replica.life),
+                self._runner.loads.total_at(run.replica.incarnation),
                 run.replica.slots,
                 call.route.aim_s,
             )
--- a/cactusridge/dispatch/claims.py
+++ b/cactusridge/dispatch/claims.py
@@ -27,19 +27,19 @@
 
 def granted_claims(
     slots: int,
-    life: str,
+    incarnation: str,
     loads: Mapping[str, Load],
 ) -> Counter[str]:
     """Return the number of granted claims on a replica by entry name.
 
-    ``life`` is the key of the replica's incarnation; ``loads`` maps each
+    ``incarnation`` is the key of the replica's incarnation; ``loads`` maps each
     entry to its requests and claims at the replica. The first claim of
     each entry precedes the second claim of any entry. Among claims of
     equal rank the order of the entries differs between replicas, so that
     no entry is always last.
     """
     free = slots - sum(load.total for load in loads.values())
-    order = rendezvous(loads, hash64(life))
+    order = rendezvous(loads, hash64(incarnation))
     most = max((load.claims for load in loads.values()), default=0)
     claims = [
         name
@@ -65,12 +65,12 @@
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return whether a claim of ``entry`` on a replica is granted.
 
-        ``life`` is the key of the replica's incarnation; ``loads`` maps
+        ``incarnation`` is the key of the replica's incarnation; ``loads`` maps
         each entry to its requests and claims at the replica.
         """
 
@@ -86,11 +86,11 @@
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return whether at least one claim of ``entry`` is granted."""
-        return granted_claims(slots, life, loads)[entry] > 0
+        return granted_claims(slots, incarnation, loads)[entry] > 0
 
 
 class NoClaims(ClaimRule):
@@ -107,7 +107,7 @@
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return True."""
--- a/cactusridge/dispatch/crash_watch.py
+++ b/cactusridge/dispatch/crash_watch.py
@@ -7,7 +7,7 @@
 from cactusridge.dispatch.upstream import Upstream
 from cactusridge.fleet.replica import Replica
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 
 # Delay in seconds from a broken connection to the probe of its replica.
 # A process that ends closes its connections one by one, not all at once.
@@ -32,7 +32,7 @@
     address, it has not crashed.
     """
 
-    def __init__(self, upstream: Upstream, suspects: Suspects) -> None:
+    def __init__(self, upstream: Upstream, suspects: CrashEvidence) -> None:
         """Probe through ``upstream`` and report crashes to ``suspects``."""
         self._upstream = upstream
         self._suspects = suspects
@@ -56,14 +56,16 @@
         run: InterruptedRun,
     ) -> None:
         """Schedule one probe for all runs interrupted at the same time."""
-        broken = self._broken.setdefault(replica.life, [])
+        broken = self._broken.setdefault(replica.incarnation, [])
         broken.append(run)
         if len(broken) == 1:
             gevent.spawn_later(pause_s, self._probe, replica)
 
     def _probe(self, replica: Replica) -> None:
-        broken = self._broken.pop(replica.life)
+        broken = self._broken.pop(replica.incarnation)
         if self._upstream.lives(replica):
             return
         for run in broken:
-            self._suspects.crashed(run.fingerprint, replica.life, run.stage)
+            self._suspects.crashed(
+                run.fingerprint, replica.incarnation, run.stage
+            )
--- a/cactusridge/dispatch/online.py
+++ b/cactusridge/dispatch/online.py
@@ -98,7 +98,7 @@
             return Answer(head.status, head.headers, body)
         begun_at = call.arrived_at
         whole = self._read_body(call, run)
-        run.survived()
+        run.record_completion()
         self._attempts.record_slot_time(run.replica, begun_at)
         run.close()
         return Answer(head.status, head.headers, [whole])
--- a/cactusridge/dispatch/online_log.py
+++ b/cactusridge/dispatch/online_log.py
@@ -27,7 +27,7 @@
         req: UpstreamRequest,
     ) -> None:
         """Log the replica chosen for a request and the inputs of the choice."""
-        load = self._loads.at(replica.life)
+        load = self._loads.total_at(replica.incarnation)
         logs.emit(
             events.REQUEST_PLACED,
             request=req.id,
--- a/cactusridge/dispatch/placement.py
+++ b/cactusridge/dispatch/placement.py
@@ -34,13 +34,13 @@
 class Choice(NamedTuple):
     """A replica that may be chosen, with its load.
 
-    ``near`` is True for a replica in the local cell. The load of a replica
+    ``local`` is True for a replica in the local cell. The load of a replica
     in a remote cell may include only this entry's own requests.
     """
 
     replica: Replica
     load: Load
-    near: bool = True
+    local: bool = True
 
     @property
     def queue(self) -> int:
@@ -71,22 +71,26 @@
 
 
 def select_candidates(
-    lives: Set[str],
-    near: Set[str],
+    incarnations: Set[str],
+    local: Set[str],
     offered: Set[str],
     rng: random.Random,
 ) -> Set[str]:
     """Return the incarnations of replicas to compare.
 
-    These are the replicas in ``lives`` that belong to the local cell
-    (``near``) or that remote cells offer (``offered``). If there are none,
+    These are the replicas in ``incarnations`` that belong to the local cell
+    (``local``) or that remote cells offer (``offered``). If there are none,
     RANDOM_CANDIDATES replicas are drawn at random. Otherwise all entries,
     which share the same scarce information, would choose the same replica.
     """
-    known = lives & (near | offered)
+    known = incarnations & (local | offered)
     if known:
         return known
-    return set(rng.sample(sorted(lives), min(RANDOM_CANDIDATES, len(lives))))
+    return set(
+        rng.sample(
+            sorted(incarnations), min(RANDOM_CANDIDATES, len(incarnations))
+        )
+    )
 
 
 def choose_least_online(
@@ -105,7 +109,7 @@
     ranked = [
         (
             choice.queue,
-            not choice.near,
+            not choice.local,
             choice.load.total / max(1, choice.replica.slots),
             choice.replica.zone != zone,
             rng.random(),
--- a/cactusridge/dispatch/policies.py
+++ b/cactusridge/dispatch/policies.py
@@ -10,9 +10,9 @@
 from cactusridge.dispatch.returns import AfterBurst, NextSlot, RetryAfterPolicy
 from cactusridge.peers.cell_rules import ByZone, CellRule, OneCell
 from cactusridge.routing.outliers import (
+    NoEjection,
     OutlierDetector,
     OutlierEjector,
-    TrustAll,
 )
 from cactusridge.startup.models import DirectPolicy
 
@@ -64,5 +64,5 @@
 def make_outliers(names: DirectPolicy, clock: Clock) -> OutlierDetector:
     """Return the outlier detector selected in ``names``."""
     if names.outliers == 'trust':
-        return TrustAll()
+        return NoEjection()
     return OutlierEjector(clock, EJECT_FAILURES, EJECT_FIRST_S, EJECT_MOST_S)
--- a/cactusridge/dispatch/run.py
+++ b/cactusridge/dispatch/run.py
@@ -20,12 +20,12 @@
     Refused,
     TruncatedReply,
 )
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.replica import Replica
 from cactusridge.peers.load import WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierDetector
 
 # Errors raised when a connection ended before the answer was complete.
@@ -72,7 +72,7 @@
         self._stack = stack
         self._fingerprint = fingerprint
         self._opened_at = runner.clock.monotonic()
-        self._stage = Stage.begun
+        self._stage = Stage.started
         if kind == WorkKind.batch:
             # The head of a batch item arrives when the item starts to run.
             self._stage = Stage.queued
@@ -105,13 +105,13 @@
         if is_success(head.status) and not head.genuine:
             self.failed()
             raise CrossedReply(f'{self.replica.id} did not sign its answer')
-        self._stage = Stage.begun
+        self._stage = Stage.started
         self._received_at = self._runner.clock.monotonic()
         if head.genuine:
-            life = self.replica.life
-            self._runner.suspects.answered(life, self._opened_at)
+            incarnation = self.replica.incarnation
+            self._runner.suspects.answered(incarnation, self._opened_at)
             if not is_success(head.status):
-                self.survived()
+                self.record_completion()
         self._record_status(head.status)
         return head
 
@@ -132,10 +132,10 @@
         """Record that part of the output has been received."""
         self._stage = Stage.answering
 
-    def survived(self) -> None:
+    def record_completion(self) -> None:
         """Record a completed run, which withdraws the request's strikes."""
         self._survived = True
-        self._runner.suspects.survived(self._fingerprint)
+        self._runner.suspects.record_completion(self._fingerprint)
 
     def abort(self) -> None:
         """Cancel the request, from a greenlet other than the waiting one."""
@@ -146,7 +146,7 @@
 
     def failed(self) -> None:
         """Record a failure of the replica that no request can have caused."""
-        self._runner.health.failed(self.replica.life, certain=True)
+        self._runner.health.failed(self.replica.incarnation, certain=True)
 
     def close(self) -> None:
         """Stop counting the request as load; cancel it if it is unfinished."""
@@ -180,12 +180,12 @@
         would eject healthy replicas.
         """
         if status < SERVER_ERROR:
-            self._runner.health.succeeded(self.replica.life, 0)
+            self._runner.health.succeeded(self.replica.incarnation, 0)
         elif status != GATEWAY_TIMEOUT and self._kind == WorkKind.online:
-            self._runner.health.failed(self.replica.life)
+            self._runner.health.failed(self.replica.incarnation)
 
 
-class Runner(LifeListener):
+class Runner(IncarnationListener):
     """Opens runs and collects what they reveal about replicas."""
 
     def __init__(
@@ -193,7 +193,7 @@
         upstream: Upstream,
         loads: LoadTable,
         health: OutlierDetector,
-        suspects: Suspects,
+        suspects: CrashEvidence,
         clock: Clock,
     ) -> None:
         """Send requests through ``upstream`` and count them in ``loads``."""
@@ -205,10 +205,10 @@
         self._upstream = upstream
         self._slot_times: dict[str, SlotTime] = {}
 
-    def life_ended(self, life: str) -> None:
+    def incarnation_ended(self, incarnation: str) -> None:
         """Drop the health and the peers' counts of an ended incarnation."""
-        self.health.forget(life)
-        self.loads.forget_life(life)
+        self.health.forget(incarnation)
+        self.loads.forget_incarnation(incarnation)
 
     def slot_time(self, service: str) -> SlotTime:
         """Return the mean time that a service's online requests hold a slot."""
@@ -227,11 +227,13 @@
         The run counts as load of the kind ``kind`` until it is closed.
         """
         with contextlib.ExitStack() as stack:
-            stack.enter_context(self.loads.running(replica.life, kind))
+            stack.enter_context(
+                self.loads.count_request(replica.incarnation, kind)
+            )
             try:
                 exchange = self._upstream.send(replica, req, left_s, fresh)
             except CactusridgeError:
-                self.health.failed(replica.life, certain=True)
+                self.health.failed(replica.incarnation, certain=True)
                 raise
             metrics.ATTEMPTS.inc({'service': replica.service})
             stack.callback(exchange.close)
--- a/cactusridge/dispatch/streams.py
+++ b/cactusridge/dispatch/streams.py
@@ -59,7 +59,7 @@
                 failure = exc
                 self._log.broken(call, run, splitter, exc)
             else:
-                run.survived()
+                run.record_completion()
                 self._attempts.record_slot_time(run.replica, begun_at)
                 return
             finally:
--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -150,7 +150,7 @@
             str(host.address): {
                 'zone': host.zone,
                 'version': host.settings_version,
-                'state': host.belief(now).value,
+                'state': host.status(now).value,
                 'services': sorted(host.replicas),
             }
             for host in self._parts.fleet.sidecars()
--- a/cactusridge/entry/app.py
+++ b/cactusridge/entry/app.py
@@ -52,9 +52,9 @@
             STRIKES,
             suspects,
             clock,
-            least=1,
+            min_strikes=1,
         )
-        suspects.pass_on(self._strikes)
+        suspects.add_listener(self._strikes)
         self._strike_poll = StrikePoll(self.parts.table, STRIKES, self._strikes)
         self._merger = HourMerger(
             self.parts.objects,
--- a/cactusridge/fleet/fleet_view.py
+++ b/cactusridge/fleet/fleet_view.py
@@ -5,11 +5,11 @@
 from gevent.event import Event
 
 from cactusridge import events, logs
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.life_order import IncarnationOrder
 from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
 from cactusridge.fleet.replica import (
-    NOT_TOLD,
+    UNKNOWN_START,
     Replica,
     ReplicaState,
     incarnation_key,
@@ -33,27 +33,27 @@
         self._order = IncarnationOrder()
         self._with_start_time = 0
         self._excluded = 0
-        self._listeners: list[LifeListener] = []
+        self._listeners: list[IncarnationListener] = []
 
-    def on_life_end(self, listener: LifeListener) -> None:
+    def add_incarnation_listener(self, listener: IncarnationListener) -> None:
         """Notify ``listener`` of each incarnation that a newer one replaces."""
         self._listeners.append(listener)
 
     def put(self, replica: Replica) -> None:
         """Add a replica, a new incarnation or a new state of a known replica.
 
-        Raises LifeOver if the incarnation is older than the newest known one,
-        and LifeNotTold if the entry has no start time although an earlier
-        entry of the same id had one.
+        Raises OlderIncarnation if the incarnation is older than the newest
+        known one, and MissingStartTime if the entry has no start time although
+        an earlier entry of the same id had one.
         """
-        ended = self._order.record(replica.id, replica.born)
+        ended = self._order.record(replica.id, replica.started_at_ms)
         if ended is not None:
             self._end_incarnation(replica, ended)
-        if self._replicas.get(replica.life) == replica:
+        if self._replicas.get(replica.incarnation) == replica:
             return
-        self._with_start_time -= self._has_start_time(replica.life)
-        self._replicas[replica.life] = replica
-        self._with_start_time += self._has_start_time(replica.life)
+        self._with_start_time -= self._has_start_time(replica.incarnation)
+        self._replicas[replica.incarnation] = replica
+        self._with_start_time += self._has_start_time(replica.incarnation)
         event = events.REPLICA_FOUND
         if replica.state == ReplicaState.draining:
             event = events.REPLICA_LEAVING
@@ -61,7 +61,7 @@
             event,
             replica=replica.id,
             service=replica.service,
-            born=replica.born,
+            born=replica.started_at_ms,
         )
         self._notify_changed()
 
@@ -76,9 +76,9 @@
         logs.emit(events.REPLICA_GONE, replica=replica_id)
         self._notify_changed()
 
-    def get(self, life: str) -> Replica | None:
+    def get(self, incarnation: str) -> Replica | None:
         """Return the replica with this incarnation key, or None."""
-        return self._replicas.get(life)
+        return self._replicas.get(incarnation)
 
     def ids(self) -> set[str]:
         """Return the ids of all replicas."""
@@ -102,43 +102,47 @@
                 for replica in self._replicas.values()
                 if replica.service == service
                 and replica.state == ReplicaState.ready
-                and is_usable_entry(replica.born, NOT_TOLD, most_have_start)
+                and is_usable_entry(
+                    replica.started_at_ms, UNKNOWN_START, most_have_start
+                )
             )
             self._ready[service] = found
         return found
 
-    def is_named(self, replica: Replica) -> bool:
+    def is_usable(self, replica: Replica) -> bool:
         """Return whether the entry of a replica identifies a usable replica."""
         most_have_start = self._most_have_start_time()
-        return is_usable_entry(replica.born, NOT_TOLD, most_have_start)
+        return is_usable_entry(
+            replica.started_at_ms, UNKNOWN_START, most_have_start
+        )
 
     def addresses(self) -> Iterable[tuple[str, int]]:
         """Return the addresses of all replicas."""
         return {replica.address for replica in self._replicas.values()}
 
-    def _end_incarnation(self, replica: Replica, born: int) -> None:
-        """Remove the incarnation started at ``born``, before ``replica``."""
-        life = incarnation_key(replica.id, born)
-        self._remove(life)
+    def _end_incarnation(self, replica: Replica, started_at_ms: int) -> None:
+        """Remove the incarnation of ``replica`` started then."""
+        incarnation = incarnation_key(replica.id, started_at_ms)
+        self._remove(incarnation)
         logs.emit(
             events.REPLICA_REBORN,
             replica=replica.id,
-            born=replica.born,
-            before=born,
+            born=replica.started_at_ms,
+            before=started_at_ms,
         )
         for listener in self._listeners:
-            listener.life_ended(life)
+            listener.incarnation_ended(incarnation)
 
-    def _remove(self, life: str) -> bool:
+    def _remove(self, incarnation: str) -> bool:
         """Remove an incarnation; return whether it was known."""
-        self._with_start_time -= self._has_start_time(life)
+        self._with_start_time -= self._has_start_time(incarnation)
         self._ready.clear()
-        return self._replicas.pop(life, None) is not None
+        return self._replicas.pop(incarnation, None) is not None
 
-    def _has_start_time(self, life: str) -> bool:
+    def _has_start_time(self, incarnation: str) -> bool:
         """Return whether the incarnation is known and has a start time."""
-        replica = self._replicas.get(life)
-        return replica is not None and replica.born != NOT_TOLD
+        replica = self._replicas.get(incarnation)
+        return replica is not None and replica.started_at_ms != UNKNOWN_START
 
     def _most_have_start_time(self) -> bool:
         return most_have_start_time(self._with_start_time, len(self._replicas))
--- a/cactusridge/fleet/life_listener.py
+++ b/cactusridge/fleet/life_listener.py
@@ -3,12 +3,12 @@
 import abc
 
 
-class LifeListener(abc.ABC):
+class IncarnationListener(abc.ABC):
     """Keeps state by the incarnation key of a replica."""
 
     @abc.abstractmethod
-    def life_ended(self, life: str) -> None:
-        """Discard the state about ``life``, an incarnation key.
+    def incarnation_ended(self, incarnation: str) -> None:
+        """Discard the state about ``incarnation``, an incarnation key.
 
         The key may be unknown to the listener.
         """
--- a/cactusridge/fleet/life_order.py
+++ b/cactusridge/fleet/life_order.py
@@ -4,7 +4,7 @@
 
 from cactusridge.errors import CactusridgeError
 from cactusridge.fleet.life_rule import is_usable_entry
-from cactusridge.fleet.replica import NOT_TOLD
+from cactusridge.fleet.replica import UNKNOWN_START
 
 # Limits how many unlisted replicas have the start time of their newest
 # incarnation remembered. The largest deployments list some tens of replicas,
@@ -13,14 +13,14 @@
 MAX_UNLISTED = 4096
 
 
-class LifeOver(CactusridgeError):
+class OlderIncarnation(CactusridgeError):
     """A newer incarnation of the replica is known."""
 
     status = 409
     code = 'life_over'
 
 
-class LifeNotTold(CactusridgeError):
+class MissingStartTime(CactusridgeError):
     """The entry has no start time, unlike an earlier entry of its id."""
 
     status = 422
@@ -46,27 +46,34 @@
             replica_id, self._unlisted_starts.get(replica_id)
         )
 
-    def record(self, replica_id: str, born: int) -> int | None:
+    def record(self, replica_id: str, started_at_ms: int) -> int | None:
         """Record a listed incarnation; return the start time it replaces.
 
         Returns None if the listed incarnation replaces no other. Raises
-        LifeOver if a newer incarnation is known, and LifeNotTold if ``born``
-        is NOT_TOLD although an earlier entry of the id had a start time.
+        OlderIncarnation if a newer incarnation is known, and MissingStartTime
+        if ``started_at_ms`` is UNKNOWN_START although an earlier entry of the
+        id had a start time.
         """
         newest = self.newest(replica_id)
-        if not is_usable_entry(born, newest or NOT_TOLD, most_have_start=False):
-            raise LifeNotTold(f'{replica_id} lacks its start time {newest}')
-        if newest is not None and born < newest:
-            raise LifeOver(f'{replica_id}: {born} is older than {newest}')
+        if not is_usable_entry(
+            started_at_ms, newest or UNKNOWN_START, most_have_start=False
+        ):
+            raise MissingStartTime(
+                f'{replica_id} lacks its start time {newest}'
+            )
+        if newest is not None and started_at_ms < newest:
+            raise OlderIncarnation(
+                f'{replica_id}: {started_at_ms} is older than {newest}'
+            )
         self._unlisted_starts.pop(replica_id, None)
-        self._listed_starts[replica_id] = born
-        return None if newest == born else newest
+        self._listed_starts[replica_id] = started_at_ms
+        return None if newest == started_at_ms else newest
 
     def record_unlisted(self, replica_id: str) -> None:
         """Record that service discovery no longer lists a replica."""
-        born = self._listed_starts.pop(replica_id, None)
-        if born is None:
+        started_at_ms = self._listed_starts.pop(replica_id, None)
+        if started_at_ms is None:
             return
-        self._unlisted_starts[replica_id] = born
+        self._unlisted_starts[replica_id] = started_at_ms
         if len(self._unlisted_starts) > MAX_UNLISTED:
             self._unlisted_starts.popitem(last=False)
--- a/cactusridge/fleet/replica.py
+++ b/cactusridge/fleet/replica.py
@@ -6,7 +6,7 @@
 from cactusridge.http.client import Address
 
 # Start time of a replica whose entry has none.
-NOT_TOLD = 0
+UNKNOWN_START = 0
 SEPARATOR = '@'
 
 
@@ -17,23 +17,23 @@
     draining = 'draining'
 
 
-def incarnation_key(replica_id: str, born: int) -> str:
+def incarnation_key(replica_id: str, started_at_ms: int) -> str:
     """Return the key of one incarnation of a replica, unique to it.
 
     An id without a start time is its own key, unless it contains the separator
     and could be confused with the key of another replica.
     """
-    if born == NOT_TOLD and SEPARATOR not in replica_id:
+    if started_at_ms == UNKNOWN_START and SEPARATOR not in replica_id:
         return replica_id
-    return f'{replica_id}{SEPARATOR}{born}'
+    return f'{replica_id}{SEPARATOR}{started_at_ms}'
 
 
 class Replica(NamedTuple):
     """A replica of a service; ``id`` stays the same across restarts.
 
     ``slots`` is how many requests the replica processes at once. It queues
-    further requests in order of arrival. ``born`` is the Unix time in
-    milliseconds at which its process started, or NOT_TOLD.
+    further requests in order of arrival. ``started_at_ms`` is the Unix time in
+    milliseconds at which its process started, or UNKNOWN_START.
     """
 
     id: str
@@ -42,14 +42,14 @@
     zone: str
     slots: int
     state: ReplicaState
-    born: int = NOT_TOLD
+    started_at_ms: int = UNKNOWN_START
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The incarnation key, under which all state about the replica is kept.
 
         A process that restarts under the same id has none of its predecessor's
         state. In-flight requests, health records and connections of the
         earlier process therefore do not apply to it.
         """
-        return incarnation_key(self.id, self.born)
+        return incarnation_key(self.id, self.started_at_ms)
--- a/cactusridge/jobs/free_replicas.py
+++ b/cactusridge/jobs/free_replicas.py
@@ -35,22 +35,22 @@
         """
         services = [each.service for each in route.shares if each.weight]
         cells = map(self._sharing.cells.of_service, services)
-        near = frozenset().union(*(each.near for each in cells))
-        usable = self._usable(services, near)
+        local = frozenset().union(*(each.local for each in cells))
+        usable = self._usable(services, local)
         free = [
             (
-                key in near,
-                room(usable[key].slots, self._runner.loads.at(key)),
+                key in local,
+                room(usable[key].slots, self._runner.loads.total_at(key)),
                 self._rng.random(),
                 key,
             )
-            for key in self._runner.health.allowed(usable)
+            for key in self._runner.health.selectable(usable)
         ]
         most = max((each for each in free if each[1]), default=None)
         return most and usable[most[-1]]
 
     def _usable(
-        self, services: list[str], near: Set[str]
+        self, services: list[str], local: Set[str]
     ) -> dict[str, Replica]:
         """Return the replicas where this entry may run items.
 
@@ -65,6 +65,8 @@
         )
         if not mine:
             ready = itertools.chain(*map(self._fleet.ready, services))
-            return {each.life: each for each in ready}
-        known = near | self._runner.loads.shared()
-        return {each.life: each for each in mine if each.life in known}
+            return {each.incarnation: each for each in ready}
+        known = local | self._runner.loads.replicas_with_counts()
+        return {
+            each.incarnation: each for each in mine if each.incarnation in known
+        }
--- a/cactusridge/jobs/item_run.py
+++ b/cactusridge/jobs/item_run.py
@@ -153,7 +153,7 @@
         if head.status != OK:
             return RunOutcome.interrupted
         self._read_events(run)
-        run.survived()
+        run.record_completion()
         return RunOutcome.completed
 
     def _read_events(self, run: Run) -> None:
--- a/cactusridge/jobs/look_pacer.py
+++ b/cactusridge/jobs/look_pacer.py
@@ -39,7 +39,7 @@
         delay_s = (
             self._last_pass_at + MIN_PASS_INTERVAL_S - self._clock.monotonic()
         )
-        if delay_s > 0 and self._cells.several:
+        if delay_s > 0 and self._cells.has_several_cells:
             gevent.sleep(delay_s)
         self._last_pass_at = self._clock.monotonic()
         self.wake.clear()
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -15,7 +15,7 @@
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.jobs.scheduler import BatchScheduler
 from cactusridge.jobs.session import Session
-from cactusridge.peers.exchange import tell_nobody
+from cactusridge.peers.exchange import ignore_announcement
 from cactusridge.work_meter import Part, spawn
 
 # Interval in seconds at which an entry polls for orphaned jobs.
@@ -45,7 +45,7 @@
         self._scheduler = scheduler
         self._clock = clock
         self._orphans = orphans
-        self._announce: Callable[[str, int], None] = tell_nobody
+        self._announce: Callable[[str, int], None] = ignore_announcement
         self._peers_heard = peers_heard
         self._heads = heads
         heads.on_change(self.head_changed)
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -87,7 +87,9 @@
 
     def preempt_items(self) -> None:
         """Preempt the newest items at replicas that exceed their slots."""
-        replicas = {each.replica.life: each.replica for each in self._running}
+        replicas = {
+            each.replica.incarnation: each.replica for each in self._running
+        }
         for replica in replicas.values():
             loads = self._loads_at(replica)
             count = shares_to_yield(replica.slots, loads)[self._name]
@@ -127,7 +129,9 @@
         claim = contextlib.ExitStack()
         # The claim is counted at once so that the choice of a replica for
         # the next item takes it into account.
-        claim.enter_context(self.loads.running(replica.life, WorkKind.claim))
+        claim.enter_context(
+            self.loads.count_request(replica.incarnation, WorkKind.claim)
+        )
         METER.steps['claims'] += 1
         spawn(Part.claims, self._resolve_claim, waiting, replica, claim)
 
@@ -138,10 +142,10 @@
         claim: contextlib.ExitStack,
     ) -> None:
         """Start an item if its claim is granted, else return it to waiting."""
-        gevent.sleep(self._claims.wait_s(self._cells.several))
+        gevent.sleep(self._claims.wait_s(self._cells.has_several_cells))
         loads = self._loads_at(replica)
-        life = replica.life
-        kept = self._claims.keeps(self._name, replica.slots, life, loads)
+        incarnation = replica.incarnation
+        kept = self._claims.keeps(self._name, replica.slots, incarnation, loads)
         claim.close()
         if kept and self._may_start(waiting.job, replica):
             METER.steps['claims_kept'] += 1
@@ -156,14 +160,14 @@
         may have been suspended, and the replica may have left or restarted.
         The slots of its new incarnation need new claims.
         """
-        if self._fleet.get(replica.life) is None:
+        if self._fleet.get(replica.incarnation) is None:
             return False
         return job.head.id in self.jobs and self.may_dispatch.is_set()
 
     def _loads_at(self, replica: Replica) -> dict[str, Load]:
         """Return the request counts at a replica, keyed by entry."""
-        loads = self.loads.peers_at(replica.life)
-        loads[self._name] = self.loads.own(replica.life)
+        loads = self.loads.peers_at(replica.incarnation)
+        loads[self._name] = self.loads.own(replica.incarnation)
         return loads
 
     def _start(self, waiting: WaitingItem, replica: Replica) -> None:
@@ -179,7 +183,7 @@
             self._run_ended(running, waiting.route)
 
         greenlet.link(ended)
-        load = self.loads.at(replica.life)
+        load = self.loads.total_at(replica.incarnation)
         logs.emit(
             events.ITEM_STARTED,
             job=job.head.id,
@@ -238,8 +242,12 @@
         job.pending[task.index] = task
 
     def _preempt_newest(self, replica: Replica, count: int) -> None:
-        life = replica.life
-        here = [each for each in self._running if each.replica.life == life]
+        incarnation = replica.incarnation
+        here = [
+            each
+            for each in self._running
+            if each.replica.incarnation == incarnation
+        ]
         live = [each for each in here if not each.greenlet.dead]
         for each in live[-count:]:
             metrics.PREEMPTED.inc({'service': replica.service})
@@ -249,6 +257,6 @@
                 item=each.task.item.id,
                 replica=replica.id,
                 events=each.task.events,
-                online=self.loads.at(replica.life).online,
+                online=self.loads.total_at(replica.incarnation).online,
             )
             each.greenlet.kill(block=False)
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -11,7 +11,7 @@
 from cactusridge.jobs.model import ItemState
 from cactusridge.jobs.pace import RunTimeEstimator
 from cactusridge.jobs.urgency import ItemTimes, Urgency, UrgencyClass
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.store_clock import MS, StoreClock
 
 # Delay in seconds before an interrupted item may start again, so that it is
@@ -41,7 +41,7 @@
         store_clock: StoreClock,
         catalog: Callable[[], Catalog],
         urgency: Urgency,
-        suspects: Suspects,
+        suspects: CrashEvidence,
     ) -> None:
         """Use the routes of the catalog that ``catalog`` returns."""
         self._suspects = suspects
@@ -107,7 +107,7 @@
         if age_s > route.give_up_s + GIVE_UP_MARGIN_S:
             self.finish(job, task, ItemState.given_up)
             return None
-        if self._suspects.is_held(task.fingerprint):
+        if self._suspects.is_quarantined(task.fingerprint):
             # A quarantined item waits until its quarantine ends or its time
             # expires.
             return None
--- a/cactusridge/peers/audience.py
+++ b/cactusridge/peers/audience.py
@@ -26,7 +26,7 @@
 class Group(NamedTuple):
     """Entries that receive the counts of the same replica incarnations."""
 
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...]
     targets: set[Target]
 
 
@@ -66,12 +66,12 @@
 
     def groups(
         self,
-        lives: Iterable[str],
+        incarnations: Iterable[str],
         always: Iterable[Target] = (),
     ) -> Iterator[Group]:
-        """Yield groups of peers that receive the counts of the same ``lives``.
+        """Yield groups of peers that receive the same counts.
 
-        ``lives`` are incarnation keys. The counts of a replica go to the
+        ``incarnations`` are incarnation keys. The counts of a replica go to the
         entries of its cell, to the entries that may run batch there, to peers
         that report in-flight requests there, and to the peers in no cell. Each
         peer is in one group. Peers in ``always`` are included even if no count
@@ -79,9 +79,9 @@
         """
         by_target: dict[Target, list[str]] = {target: [] for target in always}
         in_no_cell = self._in_no_cell()
-        for life in lives:
-            for target in self._recipients(life) | in_no_cell:
-                by_target.setdefault(target, []).append(life)
+        for incarnation in incarnations:
+            for target in self._recipients(incarnation) | in_no_cell:
+                by_target.setdefault(target, []).append(incarnation)
         by_lives: dict[tuple[str, ...], set[Target]] = defaultdict(set)
         for target, its_lives in by_target.items():
             by_lives[tuple(its_lives)].add(target)
@@ -93,31 +93,40 @@
         entries = len(self._cells.remote_names())
         for name in self._cells.offer_recipients(self._loads.current_peers()):
             shares = {
-                each.life: self._share(each, name, entries)
+                each.incarnation: self._share(each, name, entries)
                 for each in local_replicas
             }
-            slots = {life: share for life, share in shares.items() if share}
+            slots = {
+                incarnation: share
+                for incarnation, share in shares.items()
+                if share
+            }
             shared = [
-                each.life
+                each.incarnation
                 for each in local_replicas
-                if name in self._sharing.of(each.life)
+                if name in self._sharing.sharers_of(each.incarnation)
             ]
-            yield _target(name), CellOffer(self._cells.own, slots, shared)
+            yield (
+                _target(name),
+                CellOffer(self._cells.local_cell, slots, shared),
+            )
 
     def _share(self, replica: Replica, name: str, entries: int) -> int:
         """Return how many online requests a remote entry may have there."""
-        online = self._loads.at(replica.life).online
+        online = self._loads.total_at(replica.incarnation).online
         more = slots_to_offer(replica.slots, online, entries, self._rng)
         if not more:
             return 0
-        there = self._loads.peers_at(replica.life).get(name, NO_LOAD)
+        there = self._loads.peers_at(replica.incarnation).get(name, NO_LOAD)
         return there.online + more
 
-    def _recipients(self, life: str) -> set[Target]:
-        names = self._cells.entries_of_replica(life) | self._sharing.of(life)
+    def _recipients(self, incarnation: str) -> set[Target]:
+        names = self._cells.entries_of_replica(
+            incarnation
+        ) | self._sharing.sharers_of(incarnation)
         # A peer with in-flight requests at the replica must know when to
         # preempt them, even if the cells have changed since it sent them.
-        names |= self._loads.peers_at(life).keys()
+        names |= self._loads.peers_at(incarnation).keys()
         return {_target(name) for name in names} - {self._own_address}
 
     def _in_no_cell(self) -> set[Target]:
--- a/cactusridge/peers/batch_sharing.py
+++ b/cactusridge/peers/batch_sharing.py
@@ -25,17 +25,17 @@
 
 
 def sharers(
-    life: str,
+    incarnation: str,
     entries: tuple[str, ...],
     count: int,
 ) -> frozenset[str]:
     """Return the ``count`` of ``entries`` that run batch at a replica.
 
-    Rendezvous hashing of the incarnation key ``life`` selects them. All
+    Rendezvous hashing of the incarnation key ``incarnation`` selects them. All
     entries compute the same result, and an entry that joins or leaves changes
     little of it.
     """
-    order = rendezvous(entries, hash64(life))
+    order = rendezvous(entries, hash64(incarnation))
     return frozenset(order[:count])
 
 
@@ -69,15 +69,15 @@
         """
         return self._share(service).mine
 
-    def of(self, life: str) -> frozenset[str]:
+    def sharers_of(self, incarnation: str) -> frozenset[str]:
         """Return the names of the entries that run batch at a replica."""
-        replica = self._fleet.get(life)
+        replica = self._fleet.get(incarnation)
         if replica is None:
             return frozenset()
         share = self._share(replica.service)
-        if life not in share.sharers:
-            share.sharers[life] = _sharers_in(share.basis, life)
-        return share.sharers[life]
+        if incarnation not in share.sharers:
+            share.sharers[incarnation] = _sharers_in(share.basis, incarnation)
+        return share.sharers[incarnation]
 
     def _share(self, service: str) -> Share:
         basis = self.cells.of_service(service)
@@ -88,14 +88,16 @@
             self._shares[service] = known
             name = self.cells.name
             known.mine.extend(
-                each for each in basis.ready if name in self.of(each.life)
+                each
+                for each in basis.ready
+                if name in self.sharers_of(each.incarnation)
             )
         return known
 
 
-def _sharers_in(basis: ReplicaCells, life: str) -> frozenset[str]:
+def _sharers_in(basis: ReplicaCells, incarnation: str) -> frozenset[str]:
     """Return the sharers of a replica; none if it accepts no new work."""
-    cell = basis.cells.get(life)
+    cell = basis.cells.get(incarnation)
     if cell is None:
         return frozenset()
     entries = basis.batch_entries[cell]
@@ -103,6 +105,6 @@
         basis.batch_entries[each] == entries for each in basis.cells.values()
     )
     needed = math.ceil(LEAST_REPLICAS * len(entries) / replicas)
-    near = sharers(life, entries, max(SHARERS, needed))
+    local = sharers(incarnation, entries, max(SHARERS, needed))
     others = tuple(set(basis.division.cells) - set(entries))
-    return near | sharers(life, others, FAR_SHARERS)
+    return local | sharers(incarnation, others, FAR_SHARERS)
--- a/cactusridge/peers/cell_rules.py
+++ b/cactusridge/peers/cell_rules.py
@@ -85,10 +85,12 @@
             return {}
         by_zone = defaultdict(list)
         for replica in replicas:
-            by_zone[replica.zone].append(replica.life)
+            by_zone[replica.zone].append(replica.incarnation)
         found: dict[str, str] = {}
-        for zone, lives in by_zone.items():
-            found.update(_distribute_evenly(lives, zones.get(zone, all_cells)))
+        for zone, incarnations in by_zone.items():
+            found.update(
+                _distribute_evenly(incarnations, zones.get(zone, all_cells))
+            )
         return found
 
 
@@ -105,7 +107,7 @@
         zones: Mapping[str, Sequence[str]],
     ) -> dict[str, str]:
         """Return the one cell for each replica."""
-        return {replica.life: SINGLE_CELL for replica in replicas}
+        return {replica.incarnation: SINGLE_CELL for replica in replicas}
 
 
 def _distribute_evenly(
--- a/cactusridge/peers/cells.py
+++ b/cactusridge/peers/cells.py
@@ -55,7 +55,7 @@
 class ReplicaCells(NamedTuple):
     """The cells of a service's replicas and the inputs they derive from.
 
-    ``cells`` maps incarnation keys to cells, and ``near`` has the keys in the
+    ``cells`` maps incarnation keys to cells, and ``local`` has the keys in the
     local cell. ``batch_entries`` maps a cell to the entries that may run batch
     at its replicas: the entries of the cell, and those whose cell has no
     replica of the service. Where cells have few replicas, it has all entries.
@@ -64,7 +64,7 @@
     ready: tuple[Replica, ...]
     division: Division
     cells: dict[str, str]
-    near: frozenset[str]
+    local: frozenset[str]
     batch_entries: dict[str, tuple[str, ...]]
 
 
@@ -96,12 +96,12 @@
         self._replicas: dict[str, ReplicaCells] = {}
 
     @property
-    def several(self) -> bool:
+    def has_several_cells(self) -> bool:
         """Whether the fleet has more than one cell."""
         return len(self._current().names) > 1
 
     @property
-    def own(self) -> str:
+    def local_cell(self) -> str:
         """The local cell, that of this entry."""
         return self._current().cells.get(self.name, SINGLE_CELL)
 
@@ -111,33 +111,35 @@
 
     def local_names(self) -> frozenset[str]:
         """Return the names of the entries in the local cell, with this one."""
-        return self._names_in(self.own)
+        return self._names_in(self.local_cell)
 
     def remote_names(self) -> tuple[str, ...]:
         """Return the names of the entries in all other cells."""
-        own = self.own
+        own = self.local_cell
         cells = self._current().cells
         return tuple(name for name, cell in cells.items() if cell != own)
 
     def is_remote(self, name: str) -> bool:
         """Return whether an entry is known to be in another cell."""
-        own = self.own
+        own = self.local_cell
         return self._current().cells.get(name, own) != own
 
-    def entries_of_replica(self, life: str) -> frozenset[str]:
+    def entries_of_replica(self, incarnation: str) -> frozenset[str]:
         """Return the names of the entries in a replica's cell.
 
         These entries are notified at once of each request at the replica. A
         replica that accepts no new work counts as one of the local cell.
         """
-        return self._names_in(self.of_replica(life))
+        return self._names_in(self.of_replica(incarnation))
 
-    def of_replica(self, life: str) -> str:
+    def of_replica(self, incarnation: str) -> str:
         """Return the cell of a replica, or the local cell if it has none."""
-        replica = self._fleet.get(life)
+        replica = self._fleet.get(incarnation)
         if replica is None:
-            return self.own
-        return self.of_service(replica.service).cells.get(life, self.own)
+            return self.local_cell
+        return self.of_service(replica.service).cells.get(
+            incarnation, self.local_cell
+        )
 
     def of_service(self, service: str) -> ReplicaCells:
         """Return the cells of a service's replicas.
@@ -157,7 +159,11 @@
             ready,
             division,
             cells,
-            frozenset(life for life, cell in cells.items() if cell == own),
+            frozenset(
+                incarnation
+                for incarnation, cell in cells.items()
+                if cell == own
+            ),
             _batch_entries(division, cells),
         )
         self._replicas[service] = found
@@ -167,7 +173,9 @@
         """Return the replicas of the local cell that accept new work."""
         for service in self._fleet.services():
             found = self.of_service(service)
-            yield from (each for each in found.ready if each.life in found.near)
+            yield from (
+                each for each in found.ready if each.incarnation in found.local
+            )
 
     def offer_recipients(self, current_peers: Iterable[str]) -> Iterator[str]:
         """Yield the remote entries that this entry sends the cell's offers to.
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -25,7 +25,7 @@
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.offers import decode_offer
 from cactusridge.peers.peer_socket import PeerSocket, Target
-from cactusridge.peers.word import Word
+from cactusridge.peers.word import EntryStatus
 from cactusridge.work_meter import Part, spawn
 
 # Interval at which all counts are repeated, in seconds.
@@ -56,7 +56,7 @@
         loads: LoadTable,
         audience: Audience,
         cells: Cells,
-        get_status: Callable[[], Word],
+        get_status: Callable[[], EntryStatus],
     ) -> None:
         """Create an exchange over ``sock`` with the peers in ``audience``.
 
@@ -69,8 +69,8 @@
         self._get_status = get_status
         self._on_loads: Callable[[], None] | None = None
         self._announcements: dict[str, tuple[int, int]] = {}
-        self._on_news: Callable[[str, int], None] | None = None
-        self._on_word: Callable[[Target, Word], None] | None = None
+        self._on_announcement: Callable[[str, int], None] | None = None
+        self._on_status: Callable[[Target, EntryStatus], None] | None = None
         self._message_listeners: dict[str, Callable[[Target, Any], None]] = {}
         self._since_repeat_s = float(0)
         self._last_sent: dict[str, Load] = {}
@@ -81,15 +81,17 @@
         """Call ``listener`` after a peer's counts have been received."""
         self._on_loads = listener
 
-    def on_word(self, listener: Callable[[Target, Word], None]) -> None:
+    def on_status(
+        self, listener: Callable[[Target, EntryStatus], None]
+    ) -> None:
         """Call ``listener`` with a peer's address and the status it sent."""
-        self._on_word = listener
+        self._on_status = listener
 
-    def on_news(self, listener: Callable[[str, int], None]) -> None:
+    def on_announcement(self, listener: Callable[[str, int], None]) -> None:
         """Call ``listener`` with each announced subject and version."""
-        self._on_news = listener
+        self._on_announcement = listener
 
-    def tell(self, subject: str, version: int) -> None:
+    def announce(self, subject: str, version: int) -> None:
         """Announce a version of ``subject`` to all peers, repeatedly."""
         self._announcements[subject] = (version, ANNOUNCEMENT_REPEATS)
         all_peers = self._audience.all_peers()
@@ -142,11 +144,11 @@
         self._last_sent = now
         self._send_counts(CHANGED, changed)
 
-    def _send_increase(self, life: str, kind: WorkKind) -> None:
+    def _send_increase(self, incarnation: str, kind: WorkKind) -> None:
         """Send the count of a replica at once after it has increased."""
-        own = self._loads.own(life)
-        self._last_sent[life] = own
-        self._send_counts(CHANGED, {life: own})
+        own = self._loads.own(incarnation)
+        self._last_sent[incarnation] = own
+        self._send_counts(CHANGED, {incarnation: own})
 
     def _send_all(self) -> None:
         now = self._loads.all_own()
@@ -192,7 +194,10 @@
         Peers in ``local_peers`` receive ``more`` even if no count goes to them.
         """
         for group in self._audience.groups(loads, local_peers):
-            counts = {life: loads[life] for life in group.lives}
+            counts = {
+                incarnation: loads[incarnation]
+                for incarnation in group.incarnations
+            }
             self._sock.send(group.targets, {kind: _encode(counts), **more})
 
     def _receive(self) -> None:
@@ -206,8 +211,8 @@
     def _handle(self, raw: bytes, sender: Target) -> None:
         message = orjson.loads(raw)
         for subject, version in message.get(ANNOUNCED, {}).items():
-            if self._on_news is not None:
-                self._on_news(subject, version)
+            if self._on_announcement is not None:
+                self._on_announcement(subject, version)
         for topic in message.keys() & self._message_listeners.keys():
             self._message_listeners[topic](sender, message[topic])
         offer = message.get(OFFER)
@@ -215,8 +220,8 @@
             self._loads.set_offer(decode_offer(offer))
         if ALL in message or CHANGED in message:
             self._apply_counts(message, sender)
-        if STATUS in message and self._on_word is not None:
-            self._on_word(sender, Word(*message[STATUS]))
+        if STATUS in message and self._on_status is not None:
+            self._on_status(sender, EntryStatus(*message[STATUS]))
 
     def _apply_counts(self, message: dict[str, Any], sender: Target) -> None:
         """Apply the counts in a peer's message."""
@@ -238,12 +243,12 @@
 
 
 def _encode(loads: Mapping[str, Load]) -> dict[str, list[int]]:
-    return {life: list(load) for life, load in loads.items()}
+    return {incarnation: list(load) for incarnation, load in loads.items()}
 
 
 def _decode(raw: dict[str, list[int]]) -> dict[str, Load]:
     return {key: Load(*pair) for key, pair in raw.items()}
 
 
-def tell_nobody(subject: str, version: int) -> None:
-    """Do nothing, in place of ``PeerExchange.tell`` before there is one."""
+def ignore_announcement(subject: str, version: int) -> None:
+    """Do nothing, in place of ``PeerExchange.announce`` before there is one."""
--- a/cactusridge/peers/key_questions.py
+++ b/cactusridge/peers/key_questions.py
@@ -22,7 +22,7 @@
 REQUESTED_PEERS = 3
 
 
-class KeyQuestions:
+class KeyConfirmationRequests:
     """Sends requests to peers, and responds to theirs from local state."""
 
     def __init__(
@@ -46,7 +46,7 @@
         peers.on_message(REQUEST_TOPIC, self._handle_request)
         peers.on_message(RESPONSE_TOPIC, self._handle_response)
 
-    def ask(self) -> KeysConfirmed | None:
+    def request(self) -> KeysConfirmed | None:
         """Return the first response, or None if none arrives in time.
 
         The age in the response is counted back from the time the request was
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -28,7 +28,7 @@
 RESPONSE_TIMEOUT_S = 0.08
 
 
-class LimitQuestions(Asker):
+class LimitRequests(Asker):
     """Sends limit requests to owner entries and responds as an owner."""
 
     def __init__(
--- a/cactusridge/peers/loads.py
+++ b/cactusridge/peers/loads.py
@@ -38,20 +38,20 @@
         self._on_increase = listener
 
     @contextlib.contextmanager
-    def running(self, life: str, kind: WorkKind) -> Iterator[None]:
+    def count_request(self, incarnation: str, kind: WorkKind) -> Iterator[None]:
         """Count one request of this entry while it is at a replica."""
-        self._own[life] = self.own(life).plus(ONE[kind])
+        self._own[incarnation] = self.own(incarnation).plus(ONE[kind])
         self._notify()
         if self._on_increase is not None:
-            self._on_increase(life, kind)
+            self._on_increase(incarnation, kind)
         try:
             yield
         finally:
-            self._end_request(life, kind)
+            self._end_request(incarnation, kind)
 
-    def own(self, life: str) -> Load:
+    def own(self, incarnation: str) -> Load:
         """Return this entry's load at a replica."""
-        return self._own.get(life, NO_LOAD)
+        return self._own.get(incarnation, NO_LOAD)
 
     def all_own(self) -> dict[str, Load]:
         """Return this entry's load by incarnation key."""
@@ -65,34 +65,34 @@
         """Store the offer just received from another cell."""
         self._offers.put(offer)
 
-    def shared(self) -> set[str]:
+    def replicas_with_counts(self) -> set[str]:
         """Return the remote replicas whose counts this entry receives."""
         return self._offers.shared()
 
-    def offered(self) -> set[str]:
+    def offered_replicas(self) -> set[str]:
         """Return the remote replicas that offer this entry one more slot."""
         return {
-            life
-            for life, slots in self._offers.slots().items()
-            if self.own(life).online < slots
+            incarnation
+            for incarnation, slots in self._offers.slots().items()
+            if self.own(incarnation).online < slots
         }
 
     def forget(self, peer: str) -> None:
         """Remove a peer and its counts."""
         self._peers.forget(peer)
 
-    def forget_life(self, life: str) -> None:
+    def forget_incarnation(self, incarnation: str) -> None:
         """Remove what peers counted at an incarnation that has ended.
 
         This entry's own requests there are counted until they end.
         """
-        self._peers.forget_life(life)
+        self._peers.forget_incarnation(incarnation)
 
     def current_peers(self) -> Iterator[str]:
         """Return the names of the peers whose counts are current."""
         return self._peers.current_peers()
 
-    def peers_heard(self) -> bool:
+    def has_current_peers(self) -> bool:
         """Return whether the counts of any peer are current."""
         return any(self.current_peers())
 
@@ -100,20 +100,20 @@
         """Return the age of the oldest current counts of a peer, in seconds."""
         return self._peers.age_s()
 
-    def peers_at(self, life: str) -> dict[str, Load]:
+    def peers_at(self, incarnation: str) -> dict[str, Load]:
         """Return the load at a replica of each peer that has any there."""
-        return self._peers.by_peer(life)
+        return self._peers.by_peer(incarnation)
 
-    def at(self, life: str) -> Load:
+    def total_at(self, incarnation: str) -> Load:
         """Return the load of all entries at a replica."""
-        return self._peers.sum_at(life).plus(self.own(life))
+        return self._peers.sum_at(incarnation).plus(self.own(incarnation))
 
-    def _end_request(self, life: str, kind: WorkKind) -> None:
-        left = self.own(life).minus(ONE[kind])
+    def _end_request(self, incarnation: str, kind: WorkKind) -> None:
+        left = self.own(incarnation).minus(ONE[kind])
         if left == NO_LOAD:
-            self._own.pop(life)
+            self._own.pop(incarnation)
         else:
-            self._own[life] = left
+            self._own[incarnation] = left
         self._notify()
 
     def _notify(self) -> None:
--- a/cactusridge/peers/offers.py
+++ b/cactusridge/peers/offers.py
@@ -60,8 +60,12 @@
     Raises ValueError, TypeError or AttributeError for a malformed offer.
     """
     cell, slots, shared = raw
-    counts = {str(life): int(count) for life, count in slots.items()}
-    return CellOffer(str(cell), counts, [str(life) for life in shared])
+    counts = {
+        str(incarnation): int(count) for incarnation, count in slots.items()
+    }
+    return CellOffer(
+        str(cell), counts, [str(incarnation) for incarnation in shared]
+    )
 
 
 class TimedOffer(NamedTuple):
@@ -93,7 +97,11 @@
 
     def shared(self) -> set[str]:
         """Return the remote replicas where this entry may run batch."""
-        return {life for offer in self._current() for life in offer.shared}
+        return {
+            incarnation
+            for offer in self._current()
+            for incarnation in offer.shared
+        }
 
     def _current(self) -> list[CellOffer]:
         now = self._clock.monotonic()
--- a/cactusridge/peers/peer_counts.py
+++ b/cactusridge/peers/peer_counts.py
@@ -32,7 +32,7 @@
         self._clock = clock
         # Ordered by the time of the last counts, the oldest first.
         self._peers: dict[str, PeerLoads] = {}
-        self._by_life: dict[str, dict[str, Load]] = {}
+        self._by_incarnation: dict[str, dict[str, Load]] = {}
         self._sums: dict[str, Load] = {}
 
     def update(self, peer: str, loads: dict[str, Load]) -> None:
@@ -41,22 +41,22 @@
         known = self._peers.pop(peer, None)
         before = known.loads if known else {}
         self._peers[peer] = PeerLoads(loads, self._clock.monotonic())
-        for life in before.keys() | loads.keys():
-            load = loads.get(life, NO_LOAD)
-            if load != before.get(life, NO_LOAD):
-                self._set_load(life, peer, load)
+        for incarnation in before.keys() | loads.keys():
+            load = loads.get(incarnation, NO_LOAD)
+            if load != before.get(incarnation, NO_LOAD):
+                self._set_load(incarnation, peer, load)
 
     def forget(self, peer: str) -> None:
         """Remove a peer and its counts."""
         known = self._peers.pop(peer, None)
-        for life in known.loads if known else ():
-            self._set_load(life, peer, NO_LOAD)
+        for incarnation in known.loads if known else ():
+            self._set_load(incarnation, peer, NO_LOAD)
 
-    def forget_life(self, life: str) -> None:
+    def forget_incarnation(self, incarnation: str) -> None:
         """Remove what peers counted at an incarnation that has ended."""
-        for peer in tuple(self._by_life.get(life, ())):
-            self._peers[peer].loads.pop(life, None)
-            self._set_load(life, peer, NO_LOAD)
+        for peer in tuple(self._by_incarnation.get(incarnation, ())):
+            self._peers[peer].loads.pop(incarnation, None)
+            self._set_load(incarnation, peer, NO_LOAD)
 
     def current_peers(self) -> Iterator[str]:
         """Return the names of the peers whose counts are current."""
@@ -71,15 +71,15 @@
         oldest = next(iter(self._peers.values()))
         return self._clock.monotonic() - oldest.received_at
 
-    def by_peer(self, life: str) -> dict[str, Load]:
+    def by_peer(self, incarnation: str) -> dict[str, Load]:
         """Return the load at a replica of each peer that has any there."""
         self._drop_expired()
-        return dict(self._by_life.get(life, {}))
+        return dict(self._by_incarnation.get(incarnation, {}))
 
-    def sum_at(self, life: str) -> Load:
+    def sum_at(self, incarnation: str) -> Load:
         """Return the load of all peers at a replica."""
         self._drop_expired()
-        return self._sums.get(life, NO_LOAD)
+        return self._sums.get(incarnation, NO_LOAD)
 
     def _drop_expired(self) -> None:
         if not self._peers:
@@ -91,15 +91,15 @@
                 return
             self.forget(peer)
 
-    def _set_load(self, life: str, peer: str, load: Load) -> None:
-        here = self._by_life.setdefault(life, {})
+    def _set_load(self, incarnation: str, peer: str, load: Load) -> None:
+        here = self._by_incarnation.setdefault(incarnation, {})
         before = here.pop(peer, NO_LOAD)
         if load != NO_LOAD:
             here[peer] = load
-        total = self._sums.get(life, NO_LOAD).plus(load).minus(before)
-        self._sums[life] = total
+        total = self._sums.get(incarnation, NO_LOAD).plus(load).minus(before)
+        self._sums[incarnation] = total
         if not here:
             # An empty sum is removed, since new replicas keep appearing for as
             # long as the process runs.
-            self._by_life.pop(life)
-            self._sums.pop(life)
+            self._by_incarnation.pop(incarnation)
+            self._sums.pop(incarnation)
--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -7,7 +7,7 @@
 from cactusridge.peers.peer_socket import Target
 from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 
 STRIKES = 'strikes'
 WITHDRAWALS = 'strikes_withdrawn'
@@ -21,7 +21,7 @@
     lost before.
     """
 
-    def __init__(self, peers: PeerExchange, suspects: Suspects) -> None:
+    def __init__(self, peers: PeerExchange, suspects: CrashEvidence) -> None:
         """Send and receive through ``peers``."""
         self._peers = peers
         self._suspects = suspects
@@ -41,10 +41,10 @@
         self._suspects.add_strikes([_decode_strike(each) for each in raw])
 
     def _handle_withdrawals(self, peer: Target, raw: Any) -> None:
-        pairs = [(str(found), str(life)) for found, life in raw]
+        pairs = [(str(found), str(incarnation)) for found, incarnation in raw]
         self._suspects.apply_withdrawals(pairs)
 
 
 def _decode_strike(raw: Any) -> Strike:
-    fingerprint, life, stage, at = raw
-    return Strike(str(fingerprint), str(life), Stage(stage), float(at))
+    fingerprint, incarnation, stage, at = raw
+    return Strike(str(fingerprint), str(incarnation), Stage(stage), float(at))
--- a/cactusridge/platform/connections.py
+++ b/cactusridge/platform/connections.py
@@ -9,7 +9,7 @@
 
 from cactusridge.clock import Clock
 from cactusridge.dispatch.upstream import ConnectFailed
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.http.client import Address
 from cactusridge.http.probe import is_quiet
 
@@ -61,7 +61,7 @@
     return min(MAX_IDLE_S, int(found.group(1)) - IDLE_MARGIN_S)
 
 
-class Connections(LifeListener):
+class Connections(IncarnationListener):
     """Idle connections by replica incarnation; the latest is reused first.
 
     A connection to a previous process of a replica never carries a request
@@ -73,9 +73,9 @@
         self._clock = clock
         self._idle: dict[str, collections.deque[IdleConnection]] = {}
 
-    def take(self, life: str, address: Address) -> socket.socket:
+    def take(self, incarnation: str, address: Address) -> socket.socket:
         """Return an idle or a new connection; raise ConnectFailed."""
-        kept = self._idle.get(life)
+        kept = self._idle.get(incarnation)
         while kept:
             idle = kept.pop()
             if idle.expires_at > self._clock.monotonic() and is_quiet(
@@ -96,7 +96,7 @@
 
     def give_back(
         self,
-        life: str,
+        incarnation: str,
         sock: socket.socket,
         keep_s: float,
     ) -> None:
@@ -105,19 +105,19 @@
             sock.close()
             return
         expires_at = self._clock.monotonic() + keep_s
-        kept = self._idle.setdefault(life, collections.deque())
+        kept = self._idle.setdefault(incarnation, collections.deque())
         kept.append(IdleConnection(sock, expires_at))
 
-    def life_ended(self, life: str) -> None:
+    def incarnation_ended(self, incarnation: str) -> None:
         """Close the idle connections to an incarnation that has ended."""
-        for idle in self._idle.pop(life, ()):
+        for idle in self._idle.pop(incarnation, ()):
             idle.sock.close()
 
     def trim(self) -> None:
         """Close the connections whose idle time has expired."""
         now = self._clock.monotonic()
-        for life, kept in list(self._idle.items()):
+        for incarnation, kept in list(self._idle.items()):
             while kept and kept[0].expires_at <= now:
                 kept.popleft().sock.close()
             if not kept:
-                self._idle.pop(life)
+                self._idle.pop(incarnation)
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -5,7 +5,7 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.fleet.fleet_view import FleetView
-from cactusridge.fleet.life_order import LifeNotTold, LifeOver
+from cactusridge.fleet.life_order import MissingStartTime, OlderIncarnation
 from cactusridge.fleet.replica import Replica
 from cactusridge.platform.replica_entry import UnreadableEntry, read_entry
 from cactusridge.store.table import Row
@@ -79,9 +79,9 @@
         try:
             replica = _read(row)
             self._fleet.put(replica)
-        except (UnreadableEntry, LifeNotTold) as unreadable:
+        except (UnreadableEntry, MissingStartTime) as unreadable:
             self._drop_unreadable(row.key, str(unreadable))
-        except LifeOver as over:
+        except OlderIncarnation as over:
             # The newer incarnation keeps its state, whether it is listed
             # or was removed.
             logs.emit(
@@ -91,7 +91,7 @@
             )
         else:
             self._missing_keys.discard(row.key)
-            if not self._fleet.is_named(replica):
+            if not self._fleet.is_usable(replica):
                 _log_unreadable(row.key, 'no start time, unlike most entries')
 
     def _drop_unreadable(self, key: str, cause: str) -> None:
--- a/cactusridge/platform/job_parts.py
+++ b/cactusridge/platform/job_parts.py
@@ -88,7 +88,7 @@
             self.scheduler,
             orphans,
             clock,
-            runner.loads.peers_heard,
+            runner.loads.has_current_peers,
         )
         self._janitor = Janitor(
             ledger,
@@ -108,8 +108,8 @@
     def connect_peers(self, peers: PeerExchange) -> None:
         """Exchange job changes with ``peers`` and receive their loads."""
         peers.on_loads(self.scheduler.loads_changed)
-        peers.on_news(self.manager.told)
-        self.manager.tell_through(peers.tell)
+        peers.on_announcement(self.manager.told)
+        self.manager.tell_through(peers.announce)
 
     def start(self) -> None:
         """Start the greenlets of the parts."""
--- a/cactusridge/platform/key_keeper.py
+++ b/cactusridge/platform/key_keeper.py
@@ -8,7 +8,7 @@
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.key_questions import KeyQuestions
+from cactusridge.peers.key_questions import KeyConfirmationRequests
 from cactusridge.peers.loads import LoadTable
 from cactusridge.platform.operator import KEY, CatalogHolder
 from cactusridge.store.table import Priority, Table
@@ -61,7 +61,7 @@
         self._table = table
         self._clock = clock
         source = LocalKeySource(holder, lease)
-        self._questions = KeyQuestions(peers, loads, source, clock)
+        self._questions = KeyConfirmationRequests(peers, loads, source, clock)
 
     def start(self) -> None:
         """Check the lease periodically, in one greenlet for each source."""
@@ -90,7 +90,7 @@
         """Renew an old lease from a peer with the same version."""
         if not self._lease.older_than(RENEW_AGE_S):
             return
-        answer = self._questions.ask()
+        answer = self._questions.request()
         if (
             answer is not None
             and answer.version == self._holder.catalog.version
--- a/cactusridge/platform/limit_parts.py
+++ b/cactusridge/platform/limit_parts.py
@@ -12,7 +12,7 @@
 from cactusridge.organisations.limiter import FixedShares, Limiter, NoLimits
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.limit_questions import LimitQuestions
+from cactusridge.peers.limit_questions import LimitRequests
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.store.store_clock import StoreClock
 
@@ -39,7 +39,7 @@
             clock,
         )
         home = LimitHome(self.homes, clock)
-        questions = LimitQuestions(peers, home, self.homes)
+        questions = LimitRequests(peers, home, self.homes)
         owner_limits = HomeLimits(own_name, self.homes, home, questions, clock)
         limiters: dict[type[Limiter], Limiter] = {
             HomeLimits: owner_limits,
--- a/cactusridge/platform/replica_entry.py
+++ b/cactusridge/platform/replica_entry.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from cactusridge.errors import CactusridgeError
-from cactusridge.fleet.replica import NOT_TOLD, Replica, ReplicaState
+from cactusridge.fleet.replica import UNKNOWN_START, Replica, ReplicaState
 from cactusridge.http.client import Address, parse_address
 
 # Longest text in bytes; the platform's store bounds its keys likewise.
@@ -52,7 +52,9 @@
     zone: Name
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
     state: ReplicaState
-    born: Annotated[int, Meta(ge=NOT_TOLD, le=MAX_STARTED_AT_MS)] = NOT_TOLD
+    born: Annotated[int, Meta(ge=UNKNOWN_START, le=MAX_STARTED_AT_MS)] = (
+        UNKNOWN_START
+    )
 
 
 def read_entry(replica_id: str, raw: Any) -> Replica:
@@ -75,7 +77,7 @@
         zone=entry.zone,
         slots=entry.slots,
         state=entry.state,
-        born=entry.born,
+        started_at_ms=entry.born,
     )
 
 
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -22,7 +22,7 @@
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket, Target
-from cactusridge.peers.word import Word
+from cactusridge.peers.word import EntryStatus
 from cactusridge.platform import discovery, names, operator
 from cactusridge.platform.caller_app import CallerApp
 from cactusridge.platform.callers import CallerResolver
@@ -67,8 +67,8 @@
         self._strikes = StrikeParts(cfg, self._store.rows, clock)
         suspects = self._strikes.suspects
         runner = Runner(self._upstream, loads, health, suspects, clock)
-        self._fleet.on_life_end(runner)
-        self._fleet.on_life_end(self._upstream.connections)
+        self._fleet.add_incarnation_listener(runner)
+        self._fleet.add_incarnation_listener(self._upstream.connections)
         self._jobs = JobParts(
             cfg,
             self._store,
@@ -90,7 +90,7 @@
             self._jobs.cells,
             self._own_status,
         )
-        self._peers.on_word(self._receive_status)
+        self._peers.on_status(self._receive_status)
         self._strikes.connect_peers(self._peers)
         self._jobs.connect_peers(self._peers)
         self._catalog_follower = self._store.follower(
@@ -192,19 +192,19 @@
         members = self._jobs.session.members()
         return [(member.host, member.port) for member in members]
 
-    def _own_status(self) -> Word:
-        return Word(
+    def _own_status(self) -> EntryStatus:
+        return EntryStatus(
             self._catalogs.version(),
             not self._store.lost,
             self._store.contact.lasts_s(),
         )
 
-    def _receive_status(self, peer: Target, word: Word) -> None:
+    def _receive_status(self, peer: Target, word: EntryStatus) -> None:
         self._catalogs.heard(peer, word.version)
         self._jobs.intake.heard(word.has_store)
         if word.has_store:
             now = self._clock.monotonic()
-            self._discovery.shorten_grace(now - word.store_s)
+            self._discovery.shorten_grace(now - word.store_uptime_s)
 
     def _serve_at(self, listen: str, pattern: str, handler: object) -> None:
         app = App(
--- a/cactusridge/platform/strike_parts.py
+++ b/cactusridge/platform/strike_parts.py
@@ -7,7 +7,7 @@
 from cactusridge.peers.peer_strikes import PeerStrikes
 from cactusridge.quarantine.policies import RULES
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Table
@@ -36,7 +36,7 @@
         clock: Clock,
     ) -> None:
         """Store strikes in ``table``."""
-        self.suspects = Suspects(RULES[cfg.policy.quarantine](), clock)
+        self.suspects = CrashEvidence(RULES[cfg.policy.quarantine](), clock)
         self.store = StrikeStore(
             table,
             STRIKES_PREFIX,
@@ -53,5 +53,5 @@
 
     def connect_peers(self, peers: PeerExchange) -> None:
         """Pass the strikes of this entry to the store and to ``peers``."""
-        self.suspects.pass_on(self.store)
-        self.suspects.pass_on(PeerStrikes(peers, self.suspects))
+        self.suspects.add_listener(self.store)
+        self.suspects.add_listener(PeerStrikes(peers, self.suspects))
--- a/cactusridge/platform/upstream.py
+++ b/cactusridge/platform/upstream.py
@@ -113,7 +113,9 @@
             return
         stated = self._parser.get('Keep-Alive', '')
         keep_s = idle_limit_s(str(stated))
-        self._connections.give_back(self._replica.life, self._sock, keep_s)
+        self._connections.give_back(
+            self._replica.incarnation, self._sock, keep_s
+        )
 
     def abort(self) -> None:
         """Shut the connection down; a greenlet that reads it sees its end."""
@@ -203,7 +205,7 @@
         if fresh:
             sock = self.connections.connect(replica.address)
         else:
-            sock = self.connections.take(replica.life, replica.address)
+            sock = self.connections.take(replica.incarnation, replica.address)
         exchange = HttpExchange(replica, req, sock, self.connections)
         try:
             exchange.start(raw)
--- a/cactusridge/quarantine/rules.py
+++ b/cactusridge/quarantine/rules.py
@@ -39,8 +39,8 @@
         """Return the certain causes and the suspects of all other crashes."""
         certain = frozenset(
             fingerprint
-            for fingerprint, lives in strikes.items()
-            if _is_certain(lives)
+            for fingerprint, incarnations in strikes.items()
+            if _is_certain(incarnations)
         )
         explained = frozenset(
             itertools.chain.from_iterable(
@@ -49,8 +49,8 @@
         )
         suspected = frozenset(
             fingerprint
-            for fingerprint, lives in strikes.items()
-            if _points(lives, explained) >= QUARANTINE_POINTS
+            for fingerprint, incarnations in strikes.items()
+            if _points(incarnations, explained) >= QUARANTINE_POINTS
         )
         return certain | suspected
 
@@ -63,11 +63,15 @@
         return frozenset()
 
 
-def _is_certain(lives: Mapping[str, Strike]) -> bool:
-    begun = [each for each in lives.values() if each.stage == Stage.begun]
-    return len(begun) * STAGE_POINTS[Stage.begun] >= QUARANTINE_POINTS
+def _is_certain(incarnations: Mapping[str, Strike]) -> bool:
+    begun = [
+        each for each in incarnations.values() if each.stage == Stage.started
+    ]
+    return len(begun) * STAGE_POINTS[Stage.started] >= QUARANTINE_POINTS
 
 
-def _points(lives: Mapping[str, Strike], explained: frozenset[str]) -> int:
-    unexplained = lives.keys() - explained
-    return sum(lives[life].points for life in unexplained)
+def _points(
+    incarnations: Mapping[str, Strike], explained: frozenset[str]
+) -> int:
+    unexplained = incarnations.keys() - explained
+    return sum(incarnations[incarnation].points for incarnation in unexplained)
--- a/cactusridge/quarantine/strike.py
+++ b/cactusridge/quarantine/strike.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 # The sum of points at which a request is quarantined: three strikes in stage
-# ``begun``, that is, three crashed replicas.
+# ``started``, that is, three crashed replicas.
 QUARANTINE_POINTS = 6
 
 
@@ -15,7 +15,7 @@
     # The request may still have been waiting for a slot of the replica.
     queued = 'queued'
     # The request had started and had produced no output yet.
-    begun = 'begun'
+    started = 'begun'
     # The request had produced part of its output.
     answering = 'answering'
 
@@ -23,7 +23,7 @@
 # A request that has started without output is the likeliest cause of a crash.
 # Requests in other stages usually only shared the replica with it.
 STAGE_POINTS = MappingProxyType(
-    {Stage.queued: 1, Stage.begun: 2, Stage.answering: 1},
+    {Stage.queued: 1, Stage.started: 2, Stage.answering: 1},
 )
 
 
--- a/cactusridge/quarantine/strike_book.py
+++ b/cactusridge/quarantine/strike_book.py
@@ -41,7 +41,7 @@
         self._recorded: OrderedDict[str, dict[str, RecordedStrike]] = (
             OrderedDict()
         )
-        self._by_life: defaultdict[str, set[str]] = defaultdict(set)
+        self._by_incarnation: defaultdict[str, set[str]] = defaultdict(set)
         self._withdrawn: OrderedDict[StrikePair, None] = OrderedDict()
         # None means that the set must be computed again.
         self._quarantined: frozenset[str] | None = frozenset()
@@ -53,22 +53,22 @@
             return False
         found = self._recorded.setdefault(strike.fingerprint, {})
         found[strike.life] = RecordedStrike(strike, self._clock.monotonic())
-        self._by_life[strike.life].add(strike.fingerprint)
+        self._by_incarnation[strike.life].add(strike.fingerprint)
         self._quarantined = None
         if len(self._recorded) > MAX_REQUESTS:
             oldest = next(iter(self._recorded))
-            for life in tuple(self._recorded[oldest]):
-                self._remove(oldest, life)
+            for incarnation in tuple(self._recorded[oldest]):
+                self._remove(oldest, incarnation)
         return True
 
     def withdraw(self, pairs: Iterable[StrikePair]) -> list[StrikePair]:
         """Withdraw strikes permanently; return those that were known."""
         known = []
-        for fingerprint, life in pairs:
-            self._withdrawn[(fingerprint, life)] = None
-            if life in self._recorded.get(fingerprint, {}):
-                self._remove(fingerprint, life)
-                known.append((fingerprint, life))
+        for fingerprint, incarnation in pairs:
+            self._withdrawn[(fingerprint, incarnation)] = None
+            if incarnation in self._recorded.get(fingerprint, {}):
+                self._remove(fingerprint, incarnation)
+                known.append((fingerprint, incarnation))
         while len(self._withdrawn) > MAX_WITHDRAWN:
             self._withdrawn.popitem(last=False)
         return known
@@ -96,7 +96,7 @@
         found = self._recorded.get(fingerprint, {}).values()
         return [each.strike for each in found]
 
-    def disproved(self, life: str, sent_at: float) -> list[StrikePair]:
+    def disproved(self, incarnation: str, sent_at: float) -> list[StrikePair]:
         """Return the strikes that a response from a replica disproves.
 
         ``sent_at`` is the monotonic time at which the answered request was
@@ -107,10 +107,10 @@
         """
         oldest_at = self._clock.monotonic() - MIN_RESTART_S
         return [
-            (fingerprint, life)
-            for fingerprint in self._by_life.get(life, ())
+            (fingerprint, incarnation)
+            for fingerprint in self._by_incarnation.get(incarnation, ())
             if oldest_at
-            < self._recorded[fingerprint][life].recorded_at
+            < self._recorded[fingerprint][incarnation].recorded_at
             < sent_at
         ]
 
@@ -128,16 +128,17 @@
     def _strikes(self) -> dict[str, dict[str, Strike]]:
         return {
             fingerprint: {
-                life: recorded.strike for life, recorded in lives.items()
+                incarnation: recorded.strike
+                for incarnation, recorded in incarnations.items()
             }
-            for fingerprint, lives in self._recorded.items()
+            for fingerprint, incarnations in self._recorded.items()
         }
 
     def _drop_expired(self) -> None:
         expired = [
-            (fingerprint, life)
-            for fingerprint, lives in self._recorded.items()
-            for life, recorded in lives.items()
+            (fingerprint, incarnation)
+            for fingerprint, incarnations in self._recorded.items()
+            for incarnation, recorded in incarnations.items()
             if self._is_expired(recorded.strike)
         ]
         for pair in expired:
@@ -147,18 +148,18 @@
         """Return when the next strike expires, in Unix seconds."""
         recorded_times = (
             recorded.strike.at
-            for lives in self._recorded.values()
-            for recorded in lives.values()
+            for incarnations in self._recorded.values()
+            for recorded in incarnations.values()
         )
         return min(recorded_times, default=float('inf')) + STRIKE_LIFETIME_S
 
-    def _remove(self, fingerprint: str, life: str) -> None:
-        lives = self._recorded[fingerprint]
-        lives.pop(life)
-        if not lives:
+    def _remove(self, fingerprint: str, incarnation: str) -> None:
+        incarnations = self._recorded[fingerprint]
+        incarnations.pop(incarnation)
+        if not incarnations:
             self._recorded.pop(fingerprint)
-        here = self._by_life[life]
+        here = self._by_incarnation[incarnation]
         here.discard(fingerprint)
         if not here:
-            self._by_life.pop(life)
+            self._by_incarnation.pop(incarnation)
         self._quarantined = None
--- a/cactusridge/quarantine/strike_row.py
+++ b/cactusridge/quarantine/strike_row.py
@@ -12,8 +12,8 @@
     The key contains a hash of the incarnation key, which may itself be longer
     than a row key can be.
     """
-    fingerprint, life = pair
-    return f'{prefix}{fingerprint}.{hash64(life):016x}'
+    fingerprint, incarnation = pair
+    return f'{prefix}{fingerprint}.{hash64(incarnation):016x}'
 
 
 def strike_write(prefix: str, strike: Strike) -> Write:
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -16,7 +16,7 @@
     strike_key,
     strike_write,
 )
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
 from cactusridge.store.table_follower import TableListener
@@ -37,19 +37,19 @@
         self,
         table: Table,
         prefix: str,
-        suspects: Suspects,
+        suspects: CrashEvidence,
         clock: Clock,
-        least: int,
+        min_strikes: int,
     ) -> None:
         """Keep strikes below ``prefix`` of ``table``.
 
-        Only strikes of requests with at least ``least`` of them are stored.
+        Only strikes of requests with at least ``min_strikes`` are stored.
         """
         self._table = table
         self._prefix = prefix
         self._suspects = suspects
         self._clock = clock
-        self._least = least
+        self._min_strikes = min_strikes
         self._reader = RowReader()
         self._wake = Event()
         self._unsaved: dict[str, Write] = {}
@@ -57,7 +57,7 @@
 
     def publish_strikes(self, strikes: Sequence[Strike]) -> None:
         """Store the strikes of a request if there are enough of them."""
-        if len(strikes) >= self._least:
+        if len(strikes) >= self._min_strikes:
             writes = [strike_write(self._prefix, each) for each in strikes]
             self._save(each for each in writes if each.key not in self._stored)
 
--- a/cactusridge/quarantine/suspects.py
+++ b/cactusridge/quarantine/suspects.py
@@ -11,7 +11,7 @@
 from cactusridge.quarantine.strike_listener import StrikeListener
 
 
-class Suspects:
+class CrashEvidence:
     """Records the requests under which replicas crash; quarantines some.
 
     A request that crashes its replica would otherwise crash one replica after
@@ -25,41 +25,41 @@
         self._listeners: list[StrikeListener] = []
         self._quarantined: frozenset[str] = frozenset()
 
-    def pass_on(self, listener: StrikeListener) -> None:
+    def add_listener(self, listener: StrikeListener) -> None:
         """Notify ``listener`` of strikes and withdrawals of this entry."""
         self._listeners.append(listener)
 
     def check(self, fingerprint: str) -> None:
         """Return if a request may run; raises Quarantined otherwise."""
-        if not self.is_held(fingerprint):
+        if not self.is_quarantined(fingerprint):
             return
         raise Quarantined(
             'replicas have crashed while running this request',
             retry_after_s=self._book.min_remaining_s(fingerprint),
         )
 
-    def is_held(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request is quarantined."""
         return fingerprint in self._book.quarantined()
 
-    def crashed(self, fingerprint: str, life: str, stage: Stage) -> None:
+    def crashed(self, fingerprint: str, incarnation: str, stage: Stage) -> None:
         """Record that a replica crashed while it had this request."""
-        strike = Strike(fingerprint, life, stage, self._clock.wall())
+        strike = Strike(fingerprint, incarnation, stage, self._clock.wall())
         if not self._add(strike):
             return
         known = self._book.strikes(fingerprint)
         for listener in self._listeners:
             listener.publish_strikes(known)
 
-    def answered(self, life: str, sent_at: float) -> None:
+    def answered(self, incarnation: str, sent_at: float) -> None:
         """Record that a replica responded to a request sent at ``sent_at``.
 
         ``sent_at`` is a monotonic time. The replica is running, so it did not
         crash under the requests that broke off there earlier.
         """
-        self._withdraw(self._book.disproved(life, sent_at))
+        self._withdraw(self._book.disproved(incarnation, sent_at))
 
-    def survived(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Record that a replica has run this request to completion."""
         found = self._book.strikes(fingerprint)
         self._withdraw([each.pair for each in found])
@@ -104,8 +104,8 @@
         """Log which requests enter and leave quarantine; update the metric."""
         quarantined = self._book.quarantined()
         for added in quarantined - self._quarantined:
-            lives = [each.life for each in self._book.strikes(added)]
-            logs.emit(events.QUARANTINED, fingerprint=added, lives=lives)
+            incarnations = [each.life for each in self._book.strikes(added)]
+            logs.emit(events.QUARANTINED, fingerprint=added, lives=incarnations)
         for removed in self._quarantined - quarantined:
             logs.emit(events.QUARANTINE_ENDED, fingerprint=removed)
         self._quarantined = quarantined
--- a/cactusridge/routing/candidates.py
+++ b/cactusridge/routing/candidates.py
@@ -7,7 +7,7 @@
     """The state of a replica as known to this entry.
 
     ``own`` counts this entry's in-flight requests there. ``reported`` counts
-    all online requests in the replica's last report, ``own_then`` those of
+    all online requests in the replica's last report, ``own_at_report`` those of
     this entry at that time, and ``age_s`` is the age of the report in seconds.
     ``limit`` is the concurrency of the replica, ``wait_s`` the waiting time
     in that report in seconds, and ``sharers`` the number of entries that send
@@ -18,7 +18,7 @@
     zone: str
     own: int = 0
     reported: int = 0
-    own_then: int = 0
+    own_at_report: int = 0
     age_s: float = 0
     limit: int = 1
     wait_s: float = 0
@@ -44,7 +44,7 @@
     Otherwise all entries would keep choosing a replica whose last report
     happened to be low.
     """
-    reported_others = max(0, candidate.reported - candidate.own_then)
+    reported_others = max(0, candidate.reported - candidate.own_at_report)
     estimated_others = candidate.own * (candidate.sharers - 1)
     freshness = 0.5 ** (candidate.age_s / REPORT_HALF_LIFE_S)
     others = reported_others * freshness + estimated_others * (1 - freshness)
--- a/cactusridge/routing/membership.py
+++ b/cactusridge/routing/membership.py
@@ -9,13 +9,13 @@
 UNLISTED_GRACE_S = 30
 
 
-class Belief(enum.StrEnum):
+class HostStatus(enum.StrEnum):
     """The state of a host as an entry judges it."""
 
     serving = 'serving'
     leaving = 'leaving'
     silent = 'silent'
-    gone = 'gone'
+    removed = 'gone'
 
 
 class Evidence(NamedTuple):
@@ -23,19 +23,19 @@
 
     ``listed`` is the host's state in the membership list, None once it is no
     longer listed. ``unlisted_s`` is the seconds since it left the list.
-    ``heard_s`` is the seconds since the host last responded to a probe, None
-    if it never has. ``draining`` is what the host reported in that response.
-    ``probe_s`` is the interval of the probes in seconds.
+    ``report_age_s`` is the seconds since the host last responded to a probe,
+    None if it never has. ``draining`` is what the host reported in that
+    response. ``probe_s`` is the interval of the probes in seconds.
     """
 
     listed: HostState | None
     unlisted_s: float
-    heard_s: float | None
+    report_age_s: float | None
     draining: bool
     probe_s: float
 
 
-def judge(evidence: Evidence) -> Belief:
+def host_status(evidence: Evidence) -> HostStatus:
     """Return the state of a host.
 
     A host that has reported that it drains counts as leaving for the rest of
@@ -47,10 +47,10 @@
     counts as gone.
     """
     timeout_s = SILENT_PROBES * evidence.probe_s
-    silent = evidence.heard_s is None or evidence.heard_s > timeout_s
+    silent = evidence.report_age_s is None or evidence.report_age_s > timeout_s
     if evidence.listed is None:
         if silent or evidence.unlisted_s > UNLISTED_GRACE_S:
-            return Belief.gone
+            return HostStatus.removed
     if evidence.draining or evidence.listed == HostState.leaving:
-        return Belief.leaving
-    return Belief.silent if silent else Belief.serving
+        return HostStatus.leaving
+    return HostStatus.silent if silent else HostStatus.serving
--- a/cactusridge/routing/outliers.py
+++ b/cactusridge/routing/outliers.py
@@ -56,11 +56,11 @@
         """Discard the health of a replica incarnation that has ended."""
 
     @abc.abstractmethod
-    def allowed(self, keys: Iterable[str]) -> set[str]:
+    def selectable(self, keys: Iterable[str]) -> set[str]:
         """Return those of ``keys`` that may be chosen now."""
 
 
-class TrustAll(OutlierDetector):
+class NoEjection(OutlierDetector):
     """Naive detector: never ejects a replica."""
 
     def succeeded(self, key: str, pace_s: float) -> None:
@@ -72,7 +72,7 @@
     def forget(self, key: str) -> None:
         """Do nothing, since no health is kept."""
 
-    def allowed(self, keys: Iterable[str]) -> set[str]:
+    def selectable(self, keys: Iterable[str]) -> set[str]:
         """Return all ``keys``."""
         return set(keys)
 
@@ -141,7 +141,7 @@
         """Discard the health of a replica incarnation that has ended."""
         self._health.pop(key, None)
 
-    def allowed(self, keys: Iterable[str]) -> set[str]:
+    def selectable(self, keys: Iterable[str]) -> set[str]:
         """Return those of ``keys`` that may be chosen now."""
         given = set(keys)
         ejected = {key for key in given if self._is_ejected(key)}
--- a/cactusridge/routing/retry_budget.py
+++ b/cactusridge/routing/retry_budget.py
@@ -13,7 +13,7 @@
     max_attempts: ClassVar[int] = 3
 
     @abc.abstractmethod
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Record a new request."""
 
     @abc.abstractmethod
@@ -26,7 +26,7 @@
 
     max_attempts = 4
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Ignore the request."""
 
     def allow(self, attempts: int) -> bool:
@@ -46,7 +46,7 @@
         self._share = share
         self._tokens = float(INITIAL_TOKENS)
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Add the tokens of a new request."""
         self._tokens = min(MAX_TOKENS, self._tokens + self._share)
 
--- a/cactusridge/sidecar_dispatch/attempt.py
+++ b/cactusridge/sidecar_dispatch/attempt.py
@@ -30,7 +30,7 @@
     """Receives the outcome of a run at the upstream."""
 
     @abc.abstractmethod
-    def survived(self) -> None:
+    def record_completion(self) -> None:
         """Record that the upstream has completed its answer."""
 
     @abc.abstractmethod
@@ -167,7 +167,7 @@
             if frame.payload:
                 self._has_output = True
                 yield frame.payload
-        self._callbacks.run.survived()
+        self._callbacks.run.record_completion()
 
     def _read(self) -> Frame:
         """Return the next head, body or end frame."""
--- a/cactusridge/sidecar_dispatch/dispatcher.py
+++ b/cactusridge/sidecar_dispatch/dispatcher.py
@@ -18,7 +18,7 @@
 from cactusridge.identity import new_id
 from cactusridge.orders import RunOrder, WorkClass
 from cactusridge.quarantine.policies import RULES
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.candidates import PickRequest
 from cactusridge.routing.retry_budget import RetryPolicy
 from cactusridge.sidecar_dispatch.attempt import (
@@ -73,7 +73,7 @@
         """Choose replicas from ``fleet``, as seen from the zone in ``cfg``."""
         self.fleet = fleet
         self.outliers = make_outliers(cfg.policy, clock)
-        self.suspects = Suspects(RULES[cfg.policy.quarantine](), clock)
+        self.suspects = CrashEvidence(RULES[cfg.policy.quarantine](), clock)
         self._crashes = CrashIds(clock)
         self._zone = cfg.zone
         self._policy = cfg.policy
@@ -95,7 +95,7 @@
         is True only if no attempt can have run the request.
         """
         budget = self._budget(dispatch)
-        budget.request()
+        budget.record_request()
         tried: list[str] = []
         outcomes: list[bool | None] = []
         while True:
@@ -153,7 +153,7 @@
                 f'no replica of {dispatch.service.name} accepts work now',
                 retry_after_s=MIN_RETRY_S,
             )
-        allowed = self.outliers.allowed(replicas) & fresh
+        allowed = self.outliers.selectable(replicas) & fresh
         now = self.fleet.now()
         sharers = len(self.fleet.entry_names())
         candidates = [
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -14,7 +14,7 @@
 from cactusridge.http.awake import listening_clock
 from cactusridge.http.client import Address, parse_address
 from cactusridge.orders import SidecarReport
-from cactusridge.routing.membership import Belief
+from cactusridge.routing.membership import HostStatus
 from cactusridge.routing.subset import choose_subset
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.sidecar_dispatch.peer_host import SidecarHost
@@ -102,7 +102,8 @@
         return [
             host.replicas[service]
             for host in self._sidecars.values()
-            if service in host.replicas and host.belief(now) == Belief.serving
+            if service in host.replicas
+            and host.status(now) == HostStatus.serving
         ]
 
     def report_due(self, host: SidecarHost) -> bool:
@@ -164,7 +165,7 @@
     def _remove_if_gone(self, address: Address, now: float) -> None:
         host = self._sidecars[address]
         host.note_listed(None, now)
-        if host.belief(now) == Belief.gone:
+        if host.status(now) == HostStatus.removed:
             self._sidecars.pop(address)
             self._client.drop(address)
             logs.emit(events.REPLICA_GONE, host=str(address))
--- a/cactusridge/sidecar_dispatch/peer_host.py
+++ b/cactusridge/sidecar_dispatch/peer_host.py
@@ -4,7 +4,7 @@
 
 from cactusridge.http.client import Address
 from cactusridge.orders import SidecarReport
-from cactusridge.routing.membership import Belief, Evidence, judge
+from cactusridge.routing.membership import Evidence, HostStatus, host_status
 from cactusridge.sidecar_dispatch.replica import Replica
 from cactusridge.store.host_list import Host, HostState
 
@@ -60,16 +60,16 @@
                 )
             self.replicas[service].note_report(load, now)
 
-    def belief(self, now: float) -> Belief:
+    def status(self, now: float) -> HostStatus:
         """Return whether the sidecar serves, leaves, is silent or is gone."""
-        heard_s = (
+        report_age_s = (
             None if self.last_report_at is None else now - self.last_report_at
         )
-        return judge(
+        return host_status(
             Evidence(
                 listed=self.listed,
                 unlisted_s=now - self.listed_at,
-                heard_s=heard_s,
+                report_age_s=report_age_s,
                 draining=self.draining,
                 probe_s=self._probe_s,
             ),
--- a/cactusridge/sidecar_dispatch/policies.py
+++ b/cactusridge/sidecar_dispatch/policies.py
@@ -6,9 +6,9 @@
 
 from cactusridge.clock import Clock
 from cactusridge.routing.outliers import (
+    NoEjection,
     OutlierDetector,
     OutlierEjector,
-    TrustAll,
 )
 from cactusridge.routing.pickers import (
     LeastOfFewPicker,
@@ -41,7 +41,7 @@
 def make_outliers(policy: EntryPolicy, clock: Clock) -> OutlierDetector:
     """Return the outlier detector selected in ``policy``."""
     if policy.outliers == 'trust':
-        return TrustAll()
+        return NoEjection()
     return OutlierEjector(clock)
 
 
--- a/cactusridge/sidecar_dispatch/prober.py
+++ b/cactusridge/sidecar_dispatch/prober.py
@@ -6,7 +6,7 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
 from cactusridge.orders import SidecarReport
-from cactusridge.routing.membership import Belief
+from cactusridge.routing.membership import HostStatus
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.sidecar_dispatch.peer_host import SidecarHost
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
@@ -79,7 +79,7 @@
     def _log_silence(self, host: SidecarHost, exc: CactusridgeError) -> None:
         if host.last_report_at is None:
             return
-        if host.belief(self._clock.monotonic()) == Belief.silent:
+        if host.status(self._clock.monotonic()) == HostStatus.silent:
             logs.emit(
                 events.REPLICA_SILENT,
                 host=str(host.address),
--- a/cactusridge/sidecar_dispatch/replica.py
+++ b/cactusridge/sidecar_dispatch/replica.py
@@ -51,7 +51,7 @@
             zone=self.zone,
             own=self.own[WorkClass.online],
             reported=report['online_running'] + report['online_waiting'],
-            own_then=self._own_at_report,
+            own_at_report=self._own_at_report,
             age_s=now - self.reported_at,
             limit=report['online_limit'],
             wait_s=report['wait_s'],
--- a/cactusridge/sidecar_dispatch/suspect_run.py
+++ b/cactusridge/sidecar_dispatch/suspect_run.py
@@ -5,7 +5,7 @@
 from cactusridge.clock import Clock
 from cactusridge.orders import WorkClass
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.sidecar_dispatch.attempt import RunListener
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
 from cactusridge.sidecar_dispatch.replica import Replica
@@ -56,7 +56,7 @@
         self,
         dispatch: Dispatch,
         replica: Replica,
-        suspects: Suspects,
+        suspects: CrashEvidence,
         crashes: CrashIds,
     ) -> None:
         """Report to ``suspects`` how the run of ``dispatch`` ends."""
@@ -65,9 +65,9 @@
         self._suspects = suspects
         self._crashes = crashes
 
-    def survived(self) -> None:
+    def record_completion(self) -> None:
         """Record that the upstream has run the request to completion."""
-        self._suspects.survived(self._dispatch.fingerprint())
+        self._suspects.record_completion(self._dispatch.fingerprint())
 
     def crashed(self, has_output: bool) -> None:
         """Record that the upstream process ended during the run."""
@@ -82,4 +82,4 @@
             # The sidecar sends the output of a batch item only when it is
             # complete, so this entry cannot observe its progress.
             return Stage.queued
-        return Stage.answering if has_output else Stage.begun
+        return Stage.answering if has_output else Stage.started
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -17,8 +17,8 @@
 from cactusridge.peers.cells import Cells
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.loads import LoadTable
-from cactusridge.peers.word import Word
-from cactusridge.routing.outliers import TrustAll
+from cactusridge.peers.word import EntryStatus
+from cactusridge.routing.outliers import NoEjection
 from cactusridge.startup.models import DirectPolicy
 from tests.cells_play import SERVICE
 
@@ -60,11 +60,11 @@
             self.loads,
             Audience(self.address, self.loads, play.addresses, sharing),
             cells,
-            lambda: Word(1, True, 1),
+            lambda: EntryStatus(1, True, 1),
         )
         runner = SimpleNamespace(
             loads=self.loads,
-            health=TrustAll(),
+            health=NoEjection(),
             slot_time=lambda _: SimpleNamespace(mean_s=HOLD_S),
         )
         policies = make_policies(DirectPolicy())._replace(placing=placing)
--- a/tests/burst_play.py
+++ b/tests/burst_play.py
@@ -150,10 +150,12 @@
             self._counts['refused'] += 1
             return
         self._counts['abroad'] += replica.zone != entry.zone
-        running = entry.loads.running(replica.life, WorkKind.online)
+        running = entry.loads.count_request(
+            replica.incarnation, WorkKind.online
+        )
         running.__enter__()
         # The times at which the used slots of the replica become free.
-        free = self._queues[replica.life]
+        free = self._queues[replica.incarnation]
         now = self.clock.now
         starts = now if len(free) < replica.slots else heapq.heappop(free)
         starts = max(now, starts)
--- a/tests/exchange_play.py
+++ b/tests/exchange_play.py
@@ -2,7 +2,7 @@
 
 from cactusridge.peers.audience import Audience
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.word import Word
+from cactusridge.peers.word import EntryStatus
 
 
 def exchange_of(sock, loads, addresses, sharing):
@@ -12,5 +12,5 @@
         loads,
         Audience(sock.address, loads, lambda: addresses, sharing),
         sharing.cells,
-        lambda: Word(3, True, 7),
+        lambda: EntryStatus(3, True, 7),
     )
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -1,7 +1,7 @@
 """Plays changes of a list of replicas to the reader and a naive model."""
 
 from cactusridge import wire
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
 from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
@@ -10,16 +10,16 @@
 from tests.naive_list import Entry, NaiveList
 
 
-class Ends(LifeListener):
+class Ends(IncarnationListener):
     """Records the incarnations that have ended."""
 
     def __init__(self):
         """Create a listener without records."""
-        self.lives = []
+        self.incarnations = []
 
-    def life_ended(self, life):
+    def incarnation_ended(self, incarnation):
         """Record the incarnation."""
-        self.lives.append(life)
+        self.incarnations.append(incarnation)
 
 
 class Play(DiscoveryCase):
@@ -33,7 +33,7 @@
         self.setUp()
         self.naive = NaiveList(LAPSED_GRACE_S)
         self.ends = Ends()
-        self.fleet.on_life_end(self.ends)
+        self.fleet.add_incarnation_listener(self.ends)
         # The version and the payload of each row by replica id; the payload of
         # a removed row is None.
         self.store = {}
@@ -128,7 +128,11 @@
     def compare(self):
         """Check that both readers use the same replicas and incarnations."""
         found = {
-            (each.id, each.born and each.born - BORN, each.address.port)
+            (
+                each.id,
+                each.started_at_ms and each.started_at_ms - BORN,
+                each.address.port,
+            )
             for each in self.fleet.ready('model')
         }
         self.assertEqual(self.naive.in_choice(), found)
@@ -136,8 +140,8 @@
             incarnation_key(replica_id, born and BORN + born or 0)
             for replica_id, born in self.naive.ended
         ]
-        self.assertEqual(ended, self.ends.lives)
-        for life in ended:
-            self.assertIsNone(self.fleet.get(life))
+        self.assertEqual(ended, self.ends.incarnations)
+        for incarnation in ended:
+            self.assertIsNone(self.fleet.get(incarnation))
         for each in self.fleet.ready('model'):
-            self.assertIs(each, self.fleet.get(each.life))
+            self.assertIs(each, self.fleet.get(each.incarnation))
--- a/tests/test_batch_sharing.py
+++ b/tests/test_batch_sharing.py
@@ -43,13 +43,13 @@
     def test_all_of_a_small_fleet(self, entries, replicas):
         """In a small fleet every entry runs batch at every replica."""
         self.grow(entries, replicas)
-        self.assertEqual(set(self.entries), self.sharing.of('i-0'))
+        self.assertEqual(set(self.entries), self.sharing.sharers_of('i-0'))
 
     @params((31, 21), (36, 25), (300, 300))
     def test_few_of_a_large_fleet(self, entries, replicas):
         """A replica has few sharers, and an entry shares some replicas."""
         self.grow(entries, replicas)
-        found = [self.sharing.of(key) for key in self.fleet.ids()]
+        found = [self.sharing.sharers_of(key) for key in self.fleet.ids()]
         self.assertEqual({SHARERS + FAR_SHARERS}, set(map(len, found)))
         counts = Counter(name for names in found for name in names)
         self.assertEqual(set(self.entries), set(counts))
@@ -57,25 +57,29 @@
     def test_few_replicas(self):
         """With few replicas each has more sharers, so that jobs spread."""
         self.grow(36, 5)
-        found = [self.sharing.of(key) for key in self.fleet.ids()]
+        found = [self.sharing.sharers_of(key) for key in self.fleet.ids()]
         mean = sum(map(len, found)) / len(self.entries)
         self.assertGreaterEqual(mean, LEAST_REPLICAS)
 
     def test_a_lost_entry(self):
         """An entry that leaves is replaced; the other sharers stay."""
         self.grow(31, 21)
-        before = self.sharing.of('i-0')
+        before = self.sharing.sharers_of('i-0')
         lost = min(before)
         self.entries = tuple(set(self.entries) - {lost})
         self.clock.advance(REFRESH_S)
-        self.assertEqual(before - {lost}, before & self.sharing.of('i-0'))
-        self.assertEqual(SHARERS + FAR_SHARERS, len(self.sharing.of('i-0')))
+        self.assertEqual(
+            before - {lost}, before & self.sharing.sharers_of('i-0')
+        )
+        self.assertEqual(
+            SHARERS + FAR_SHARERS, len(self.sharing.sharers_of('i-0'))
+        )
 
     def test_some_of_other_cells(self):
         """Most sharers are in the replica's cell, a few in other cells."""
         self.grow(60, 40)
         for replica in self.fleet.ready(SERVICE):
-            near = self.sharing.cells.entries_of_replica(replica.life)
-            found = self.sharing.of(replica.life)
+            near = self.sharing.cells.entries_of_replica(replica.incarnation)
+            found = self.sharing.sharers_of(replica.incarnation)
             self.assertEqual(SHARERS, len(found & near))
             self.assertEqual(FAR_SHARERS, len(found - near))
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -57,7 +57,9 @@
         self.assertEqual(found, last.of_service(SERVICE).cells)
         self.assertEqual(replicas, len(found))
         for replica in fleet.ready(SERVICE):
-            self.assertEqual(replica.zone, found[replica.life].split('/')[0])
+            self.assertEqual(
+                replica.zone, found[replica.incarnation].split('/')[0]
+            )
         sizes = Counter(found.values()).values()
         self.assertLessEqual(max(sizes) - min(sizes), 2)
 
@@ -83,7 +85,7 @@
         fleet = FleetView()
         put_replicas(fleet, 59, 6)
         cells = cells_of(spread(88, 6), fleet, rule=OneCell())
-        self.assertFalse(cells.several)
+        self.assertFalse(cells.has_several_cells)
         self.assertEqual(88, len(cells.entries_of_replica('i-0')))
         self.assertEqual(
             {SINGLE_CELL}, set(cells.of_service(SERVICE).cells.values())
--- a/tests/test_cells_told.py
+++ b/tests/test_cells_told.py
@@ -77,32 +77,38 @@
             if OFFER in body
         ]
 
-    def incarnation_in(self, near):
+    def incarnation_in(self, local):
         """Return a replica of the local cell, or of the remote one."""
         found = self.cells.of_service(SERVICE)
-        return min(life for life in found.cells if (life in found.near) == near)
+        return min(
+            incarnation
+            for incarnation in found.cells
+            if (incarnation in found.local) == local
+        )
 
     @params(
         *itertools.product((True, False), WorkKind),
     )
-    def test_rise(self, near, kind):
+    def test_rise(self, local, kind):
         """An increase is sent at once to the replica's cell and sharers."""
-        life = self.incarnation_in(near)
-        with self.loads.running(life, kind):
+        incarnation = self.incarnation_in(local)
+        with self.loads.count_request(incarnation, kind):
             names = [name for name, _ in self.sent]
-        wanted = self.cells.entries_of_replica(life) | self.sharing.of(life)
+        wanted = self.cells.entries_of_replica(
+            incarnation
+        ) | self.sharing.sharers_of(incarnation)
         self.assertEqual(sorted(wanted - {self.me.name}), sorted(names))
-        self.assertEqual(near, self.me.name in wanted)
+        self.assertEqual(local, self.me.name in wanted)
 
     def test_repeat(self):
         """A repeat sends a replica's counts to its cell and sharers only."""
-        near, far = (
-            self.incarnation_in(near=True),
-            self.incarnation_in(near=False),
+        local, far = (
+            self.incarnation_in(local=True),
+            self.incarnation_in(local=False),
         )
         with (
-            self.loads.running(near, WorkKind.online),
-            self.loads.running(far, WorkKind.online),
+            self.loads.count_request(local, WorkKind.online),
+            self.loads.count_request(far, WorkKind.online),
         ):
             self.sent.clear()
             self.exchange._send_all()
@@ -111,18 +117,21 @@
         self.assertLessEqual(own, set(counts))
         for name in {each.name for each in self.entries} - {self.me.name}:
             wanted = {
-                life
-                for life in (near, far)
+                incarnation
+                for incarnation in (local, far)
                 if name
-                in self.cells.entries_of_replica(life) | self.sharing.of(life)
+                in self.cells.entries_of_replica(incarnation)
+                | self.sharing.sharers_of(incarnation)
             }
             self.assertEqual(wanted, set(counts.get(name, ())))
 
     def test_end_told_with_a_repeat(self):
         """A request that ended since the last message is part of the repeat."""
-        far = self.incarnation_in(near=False)
-        audience = self.cells.entries_of_replica(far) | self.sharing.of(far)
-        with self.loads.running(far, WorkKind.online):
+        far = self.incarnation_in(local=False)
+        audience = self.cells.entries_of_replica(far) | self.sharing.sharers_of(
+            far
+        )
+        with self.loads.count_request(far, WorkKind.online):
             self.sent.clear()
         self.exchange._send_all()
         ends = {name for name, body in self.sent if far in body.get(ALL, ())}
@@ -135,23 +144,27 @@
         offers. An offer includes the requests that the remote entry already
         has.
         """
-        life = self.incarnation_in(near=True)
+        incarnation = self.incarnation_in(local=True)
         other = self.cells.remote_names()[0]
-        self.loads.set_peer_loads(other, {life: Load(3)})
+        self.loads.set_peer_loads(other, {incarnation: Load(3)})
         self.exchange._audience._rng = random.Random(1)
         for _ in range(20):
             self.exchange._send_all()
         offers = collections.defaultdict(list)
         for name, offer in self.sent_offers():
-            self.assertEqual(self.cells.own, offer.cell)
+            self.assertEqual(self.cells.local_cell, offer.cell)
             offers[name].append(offer.slots)
         self.assertEqual(set(self.cells.remote_names()), set(offers))
-        found = [slots[life] for slots in offers[other] if life in slots]
+        found = [
+            slots[incarnation]
+            for slots in offers[other]
+            if incarnation in slots
+        ]
         self.assertEqual({4}, set(found))
 
     def test_nothing_offered_when_full(self):
         """Replicas full of online requests are not offered."""
-        own = self.cells.of_service(SERVICE).near
+        own = self.cells.of_service(SERVICE).local
         self.loads.set_peer_loads(
             self.cells.remote_names()[0], dict.fromkeys(own, Load(SLOTS))
         )
@@ -163,7 +176,7 @@
     def test_news_reaches_all(self):
         """An announcement goes to every entry, and again with each repeat."""
         all_names = {each.name for each in self.entries} - {self.me.name}
-        self.exchange.tell('job', 7)
+        self.exchange.announce('job', 7)
         self.assertEqual(all_names, {name for name, _ in self.sent})
         self.sent.clear()
         self.exchange._send_all()
@@ -175,11 +188,11 @@
 
         Right after a start all other entries have just joined.
         """
-        life = self.incarnation_in(near=True)
+        incarnation = self.incarnation_in(local=True)
         self.cells.local_names()
         newcomer = self.ports.give()
         self.addresses.append(newcomer)
-        with self.loads.running(life, WorkKind.online):
+        with self.loads.count_request(incarnation, WorkKind.online):
             self.assertIn(str(newcomer), {name for name, _ in self.sent})
 
     def test_told_once_a_repeat(self):
@@ -189,18 +202,18 @@
 
     def test_offer_taken(self):
         """An offer limits the requests in flight and holds until replaced."""
-        life = self.incarnation_in(near=False)
-        raw = orjson.dumps({OFFER: ['z1/0', {life: 1}, []]})
+        incarnation = self.incarnation_in(local=False)
+        raw = orjson.dumps({OFFER: ['z1/0', {incarnation: 1}, []]})
         self.exchange._handle(raw, parse_address(self.cells.remote_names()[0]))
-        self.assertEqual({life}, self.loads.offered())
-        with self.loads.running(life, WorkKind.online):
-            self.assertEqual(set(), self.loads.offered())
-        self.assertEqual({life}, self.loads.offered())
-        raw = orjson.dumps({OFFER: ['z1/0', {}, [life]]})
+        self.assertEqual({incarnation}, self.loads.offered_replicas())
+        with self.loads.count_request(incarnation, WorkKind.online):
+            self.assertEqual(set(), self.loads.offered_replicas())
+        self.assertEqual({incarnation}, self.loads.offered_replicas())
+        raw = orjson.dumps({OFFER: ['z1/0', {}, [incarnation]]})
         self.exchange._handle(raw, parse_address(self.cells.remote_names()[0]))
-        self.assertEqual(set(), self.loads.offered())
-        self.assertEqual({life}, self.loads.shared())
-        self.assertFalse(self.loads.peers_heard())
+        self.assertEqual(set(), self.loads.offered_replicas())
+        self.assertEqual({incarnation}, self.loads.replicas_with_counts())
+        self.assertFalse(self.loads.has_current_peers())
 
     @params(
         ['z1/0', {'i-1': 'many'}, []],
@@ -217,32 +230,34 @@
             with emitted() as found:
                 self.exchange._receive()
         self.assertEqual([events.PEER_UNREADABLE], found)
-        self.assertEqual(set(), self.loads.offered())
+        self.assertEqual(set(), self.loads.offered_replicas())
 
     def test_shared(self):
         """An entry's offer lists the replicas where it may run batch."""
         self.exchange._send_all()
         for name, offer in self.sent_offers():
-            for life in self.cells.of_service(SERVICE).near:
-                shares = name in self.sharing.of(life)
-                self.assertEqual(shares, life in offer.shared)
+            for incarnation in self.cells.of_service(SERVICE).local:
+                shares = name in self.sharing.sharers_of(incarnation)
+                self.assertEqual(shares, incarnation in offer.shared)
 
     def test_holder_is_told(self):
         """A peer with requests at a replica receives its counts in any cell."""
-        life = self.incarnation_in(near=True)
-        audience = self.cells.entries_of_replica(life) | self.sharing.of(life)
+        incarnation = self.incarnation_in(local=True)
+        audience = self.cells.entries_of_replica(
+            incarnation
+        ) | self.sharing.sharers_of(incarnation)
         other = min(set(self.cells.remote_names()) - audience)
-        self.loads.set_peer_loads(other, {life: Load(0, 1)})
-        with self.loads.running(life, WorkKind.online):
+        self.loads.set_peer_loads(other, {incarnation: Load(0, 1)})
+        with self.loads.count_request(incarnation, WorkKind.online):
             self.assertIn(other, {name for name, _ in self.sent})
 
     def test_far_peer_that_is_done(self):
         """A remote peer is kept only while it has requests here."""
         far = parse_address(self.cells.remote_names()[0])
-        near = parse_address(min(self.cells.local_names() - {self.me.name}))
-        life = self.incarnation_in(near=True)
+        local = parse_address(min(self.cells.local_names() - {self.me.name}))
+        incarnation = self.incarnation_in(local=True)
         for count in (1, 0):
-            raw = orjson.dumps({CHANGED: {life: [count, 0, 0]}})
-            for sender in (far, near):
+            raw = orjson.dumps({CHANGED: {incarnation: [count, 0, 0]}})
+            for sender in (far, local):
                 self.exchange._handle(raw, sender)
-        self.assertEqual([str(near)], list(self.loads.current_peers()))
+        self.assertEqual([str(local)], list(self.loads.current_peers()))
--- a/tests/test_consider.py
+++ b/tests/test_consider.py
@@ -23,9 +23,11 @@
         """Local and offered replicas are compared, or else a random few."""
         own = {f'near-{number}' for number in range(near)}
         from_others = {f'offered-{number}' for number in range(offered)}
-        lives = {f'far-{number}' for number in range(others)}
-        lives |= own | from_others
-        found = select_candidates(lives, own, from_others, random.Random(1))
+        incarnations = {f'far-{number}' for number in range(others)}
+        incarnations |= own | from_others
+        found = select_candidates(
+            incarnations, own, from_others, random.Random(1)
+        )
         self.assertEqual(wanted, len(found))
         self.assertLessEqual(own | from_others, found)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -165,11 +165,11 @@
         # All entries lost the store, and this entry got it back first.
         (0, LAPSED_GRACE_S),
     )
-    def test_peers_had_the_store(self, store_s, grace_s):
+    def test_peers_had_the_store(self, store_uptime_s, grace_s):
         """The grace period starts at the store's earliest return to a peer."""
         self.back()
         self.list.keep_only({f'{PREFIX}i-0'})
-        self.list.shorten_grace(self.clock.monotonic() - store_s)
+        self.list.shorten_grace(self.clock.monotonic() - store_uptime_s)
         self.advance(max(0, grace_s - 0.01))
         self.assertEqual(
             {'i-0', 'i-1'} if grace_s else {'i-0'}, self.in_choice()
--- a/tests/test_dispatch_decisions.py
+++ b/tests/test_dispatch_decisions.py
@@ -122,9 +122,9 @@
         clock = ManualClock()
         table = LoadTable(clock)
         table.set_peer_loads('p', {'x': Load(2, 1)})
-        with table.running('x', WorkKind.online):
-            self.assertEqual(Load(3, 1), table.at('x'))
+        with table.count_request('x', WorkKind.online):
+            self.assertEqual(Load(3, 1), table.total_at('x'))
             clock.advance(2)
-            self.assertEqual(Load(1, 0), table.at('x'))
-        self.assertEqual(Load(0, 0), table.at('x'))
+            self.assertEqual(Load(1, 0), table.total_at('x'))
+        self.assertEqual(Load(0, 0), table.total_at('x'))
         self.assertEqual({}, table.all_own())
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -24,7 +24,7 @@
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load
 from cactusridge.peers.loads import LoadTable
-from cactusridge.routing.outliers import TrustAll
+from cactusridge.routing.outliers import NoEjection
 from cactusridge.startup.models import DirectPolicy
 from tests.cells_play import cells_of, places
 
@@ -75,7 +75,7 @@
         slot_time = SimpleNamespace(mean_s=0)
         runner = SimpleNamespace(
             loads=loads,
-            health=TrustAll(),
+            health=NoEjection(),
             slot_time=lambda service: slot_time,
         )
         self.route = SimpleNamespace(
@@ -112,7 +112,7 @@
     def looks_in_a_second(self, several):
         """Return the polls in a second with a datagram every 5 ms."""
         clock = ManualClock(1)
-        pacer = PassPacer(clock, SimpleNamespace(several=several))
+        pacer = PassPacer(clock, SimpleNamespace(has_several_cells=several))
         looks = 0
         with mock.patch('gevent.sleep', clock.advance):
             while clock.now < 2:
--- a/tests/test_free_replicas.py
+++ b/tests/test_free_replicas.py
@@ -10,7 +10,7 @@
 from cactusridge.peers.load import Load
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.offers import CellOffer
-from cactusridge.routing.outliers import TrustAll
+from cactusridge.routing.outliers import NoEjection
 from tests.cells_play import SERVICE, SLOTS, cells_of, put_replicas, spread
 
 PEER = '10.0.0.2:1'
@@ -26,30 +26,32 @@
         put_replicas(fleet, 20, 2)
         cells = cells_of(spread(40, 2), fleet, clock=clock)
         self.sharing = BatchSharing(fleet, cells)
-        self.near = cells.of_service(SERVICE).near
-        self.mine = {each.life for each in self.sharing.replicas_of(SERVICE)}
+        self.local = cells.of_service(SERVICE).local
+        self.mine = {
+            each.incarnation for each in self.sharing.replicas_of(SERVICE)
+        }
         self.loads = LoadTable(clock)
-        runner = SimpleNamespace(loads=self.loads, health=TrustAll())
+        runner = SimpleNamespace(loads=self.loads, health=NoEjection())
         self.free = FreeReplicas(fleet, runner, self.sharing)
         share = SimpleNamespace(service=SERVICE, weight=1)
         self.route = SimpleNamespace(shares=[share])
 
     def fill_near(self):
         """Report all replicas of the local cell as full."""
-        self.loads.set_peer_loads(PEER, dict.fromkeys(self.near, Load(SLOTS)))
+        self.loads.set_peer_loads(PEER, dict.fromkeys(self.local, Load(SLOTS)))
 
     def found(self):
         """Return the key of the replica with the most room, or None."""
         replica = self.free.with_most_room(self.route)
-        return replica and replica.life
+        return replica and replica.incarnation
 
     def test_near_first(self):
         """A remote replica is not chosen while a local one has room."""
-        far = self.mine - self.near
+        far = self.mine - self.local
         self.loads.set_offer(CellOffer('z1/0', {}, list(far)))
-        busy = dict.fromkeys(self.near, Load(SLOTS - 1))
+        busy = dict.fromkeys(self.local, Load(SLOTS - 1))
         self.loads.set_peer_loads(PEER, busy)
-        self.assertIn(self.found(), self.near)
+        self.assertIn(self.found(), self.local)
 
     def test_unknown_is_not_empty(self):
         """A remote replica is not chosen before its counts are offered.
@@ -58,7 +60,7 @@
         """
         self.fill_near()
         self.assertIsNone(self.found())
-        far = min(self.mine - self.near)
+        far = min(self.mine - self.local)
         self.loads.set_offer(CellOffer('z1/0', {}, [far]))
         self.assertEqual(far, self.found())
         self.loads.set_peer_loads('10.0.0.1:1', {far: Load(SLOTS)})
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -13,7 +13,7 @@
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.organisations.keys import bearer_key, key_digest
 from cactusridge.organisations.organisation import Organisation
-from cactusridge.peers.key_questions import KeyQuestions
+from cactusridge.peers.key_questions import KeyConfirmationRequests
 from cactusridge.peers.loads import LoadTable
 from cactusridge.platform.operator import KEY, CatalogHolder
 from cactusridge.store.table import Row
@@ -178,9 +178,11 @@
         loads = LoadTable(clock)
         loads.set_peer_loads('127.0.0.1:9', {})
         here, there = Wire(), Wire()
-        asker = KeyQuestions(here, loads, FixedKeySource(None), clock)
-        KeyQuestions(there, loads, FixedKeySource(known), clock)
-        answer = gevent.spawn(asker.ask)
+        asker = KeyConfirmationRequests(
+            here, loads, FixedKeySource(None), clock
+        )
+        KeyConfirmationRequests(there, loads, FixedKeySource(known), clock)
+        answer = gevent.spawn(asker.request)
         gevent.sleep(0)
         clock.advance(way_s)
         here.pass_on(there)
@@ -199,8 +201,10 @@
         clock = ManualClock(50)
         loads = LoadTable(clock)
         loads.set_peer_loads('127.0.0.1:9', {})
-        asker = KeyQuestions(Wire(), loads, FixedKeySource(None), clock)
-        self.assertIsNone(asker.ask())
+        asker = KeyConfirmationRequests(
+            Wire(), loads, FixedKeySource(None), clock
+        )
+        self.assertIsNone(asker.request())
 
     def test_nothing_to_tell(self):
         """A peer without a valid lease sends no confirmation."""
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -4,7 +4,7 @@
 
 from cactusridge import events
 from cactusridge.dispatch.run import Runner
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
 from cactusridge.http.client import Address
 from cactusridge.peers.batch_sharing import BatchSharing
@@ -12,7 +12,7 @@
 from cactusridge.peers.loads import LoadTable
 from cactusridge.platform.connections import Connections
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierEjector
 from tests.cells_play import cells_of, places
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
@@ -23,16 +23,16 @@
 SPOILED = 'no zone'
 
 
-class Ends(LifeListener):
+class Ends(IncarnationListener):
     """Records the incarnations that have ended."""
 
     def __init__(self):
         """Create a listener without records."""
-        self.lives = []
+        self.incarnations = []
 
-    def life_ended(self, life):
+    def incarnation_ended(self, incarnation):
         """Record the incarnation."""
-        self.lives.append(life)
+        self.incarnations.append(incarnation)
 
 
 class TestEnds(DiscoveryCase):
@@ -42,30 +42,30 @@
         """Register a listener and list a replica."""
         super().setUp()
         self.ends = Ends()
-        self.fleet.on_life_end(self.ends)
+        self.fleet.add_incarnation_listener(self.ends)
         self.put(ID, ENTRY)
 
     def test_newer_life(self):
         """A newer incarnation ends the one before, once."""
         for _ in range(2):
             self.put(ID, ENTRY, born=BORN + 1)
-        self.assertEqual([OLD], self.ends.lives)
+        self.assertEqual([OLD], self.ends.incarnations)
         self.assertIsNone(self.fleet.get(OLD))
-        self.assertEqual(BORN + 1, self.fleet.get(NEW).born)
+        self.assertEqual(BORN + 1, self.fleet.get(NEW).started_at_ms)
         self.assertEqual(1, self.logged(events.REPLICA_REBORN))
 
     def test_after_a_removal(self):
         """A newer incarnation ends one that is no longer listed."""
         self.remove(ID)
-        self.assertEqual([], self.ends.lives)
+        self.assertEqual([], self.ends.incarnations)
         self.put(ID, ENTRY, born=BORN + 1)
-        self.assertEqual([OLD], self.ends.lives)
+        self.assertEqual([OLD], self.ends.incarnations)
 
     def test_first_told_life(self):
         """A first start time for an id begins a new incarnation."""
         self.put('i-9', UNTOLD)
         self.put('i-9', ENTRY)
-        self.assertEqual(['i-9'], self.ends.lives)
+        self.assertEqual(['i-9'], self.ends.incarnations)
 
     def test_nothing_else(self):
         """Late and unreadable entries and a change of state end none."""
@@ -73,7 +73,7 @@
         self.put(ID, ENTRY, state='draining')
         self.spoil(ID, SPOILED)
         self.put(ID, ENTRY)
-        self.assertEqual([], self.ends.lives)
+        self.assertEqual([], self.ends.incarnations)
 
 
 class TestBeliefs(DiscoveryCase):
@@ -84,11 +84,11 @@
         super().setUp()
         self.loads = LoadTable(self.clock)
         self.health = OutlierEjector(self.clock)
-        suspects = Suspects(ByCrashes(), self.clock)
+        suspects = CrashEvidence(ByCrashes(), self.clock)
         runner = Runner(None, self.loads, self.health, suspects, self.clock)
         self.connections = Connections(self.clock)
-        self.fleet.on_life_end(runner)
-        self.fleet.on_life_end(self.connections)
+        self.fleet.add_incarnation_listener(runner)
+        self.fleet.add_incarnation_listener(self.connections)
         self.put(ID, ENTRY)
         self.put('i-1', ENTRY)
 
@@ -99,26 +99,26 @@
     def test_counts(self):
         """Requests at an ended incarnation use no slots of the next one."""
         self.loads.set_peer_loads('peer', {OLD: Load(5, 2, 1)})
-        with self.loads.running(OLD, WorkKind.online):
+        with self.loads.count_request(OLD, WorkKind.online):
             self.reborn()
-            self.assertEqual(Load(), self.loads.at(NEW))
-            self.assertEqual(Load(1), self.loads.at(OLD))
+            self.assertEqual(Load(), self.loads.total_at(NEW))
+            self.assertEqual(Load(1), self.loads.total_at(OLD))
             # A peer that does not know the new incarnation yet.
             self.loads.set_peer_loads('peer', {OLD: Load(4)})
-            self.assertEqual(Load(), self.loads.at(NEW))
+            self.assertEqual(Load(), self.loads.total_at(NEW))
         self.assertEqual({}, self.loads.all_own())
 
     def test_verdict(self):
         """The successor of an ejected incarnation may be chosen at once."""
         other = incarnation_key('i-1', BORN)
         self.health.failed(OLD, certain=True)
-        self.assertEqual({other}, self.health.allowed([OLD, other]))
+        self.assertEqual({other}, self.health.selectable([OLD, other]))
         self.reborn()
-        self.assertEqual({OLD, other}, self.health.allowed([OLD, other]))
-        self.assertEqual({NEW, other}, self.health.allowed([NEW, other]))
+        self.assertEqual({OLD, other}, self.health.selectable([OLD, other]))
+        self.assertEqual({NEW, other}, self.health.selectable([NEW, other]))
         # A request at the ended incarnation fails later.
         self.health.failed(OLD, certain=True)
-        self.assertEqual({NEW, other}, self.health.allowed([NEW, other]))
+        self.assertEqual({NEW, other}, self.health.selectable([NEW, other]))
 
     def test_connections(self):
         """Idle connections are closed and not used for the next incarnation."""
@@ -139,7 +139,7 @@
         names = tuple(f'10.0.0.{number}:1' for number in range(40))
         cells = cells_of(places(*names), self.fleet)
         sharing = BatchSharing(self.fleet, cells)
-        self.assertTrue(sharing.of(OLD))
+        self.assertTrue(sharing.sharers_of(OLD))
         self.reborn()
-        self.assertFalse(sharing.of(OLD))
-        self.assertTrue(sharing.of(NEW))
+        self.assertFalse(sharing.sharers_of(OLD))
+        self.assertTrue(sharing.sharers_of(NEW))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,7 +24,7 @@
 from cactusridge.organisations.limiter import FixedShares, NoLimits
 from cactusridge.organisations.organisation import Organisation, RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
-from cactusridge.peers.limit_questions import LimitQuestions
+from cactusridge.peers.limit_questions import LimitRequests
 from tests.limits_fleet import Loss
 from tests.limits_limiters import BroadcastCounts, by_owners, by_shares
 from tests.limits_play import play
@@ -245,7 +245,7 @@
             for own_name in ('127.0.0.1:8', '127.0.0.1:9')
         ]
         questions = [
-            LimitQuestions(wire, LimitHome(each, self.clock), each)
+            LimitRequests(wire, LimitHome(each, self.clock), each)
             for wire, each in zip(self.wires, homes, strict=True)
         ]
         self.asker = questions[0]
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -7,7 +7,7 @@
 from cactusridge import events
 from cactusridge.fleet.life_order import MAX_UNLISTED
 from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
-from cactusridge.fleet.replica import NOT_TOLD, incarnation_key
+from cactusridge.fleet.replica import UNKNOWN_START, incarnation_key
 from cactusridge.http.client import Address
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
 
@@ -23,14 +23,14 @@
     """Keys of incarnations."""
 
     @params(
-        (('a', NOT_TOLD), 'a'),
+        (('a', UNKNOWN_START), 'a'),
         (('a', 5), 'a@5'),
-        (('a@5', NOT_TOLD), 'a@5@0'),
+        (('a@5', UNKNOWN_START), 'a@5@0'),
         (('a@5', 7), 'a@5@7'),
     )
-    def test_key(self, life, wanted):
+    def test_key(self, incarnation, wanted):
         """No replica id equals the key of another replica's incarnation."""
-        self.assertEqual(wanted, incarnation_key(*life))
+        self.assertEqual(wanted, incarnation_key(*incarnation))
 
 
 class TestRule(DiscoveryCase):
@@ -50,12 +50,12 @@
         self.assertEqual(wanted, most_have_start_time(with_start_time, known))
 
     @params(
-        (5, NOT_TOLD, False, True),
+        (5, UNKNOWN_START, False, True),
         (5, 4, True, True),
-        (NOT_TOLD, NOT_TOLD, False, True),
-        (NOT_TOLD, NOT_TOLD, True, False),
-        (NOT_TOLD, 4, False, False),
-        (NOT_TOLD, 4, True, False),
+        (UNKNOWN_START, UNKNOWN_START, False, True),
+        (UNKNOWN_START, UNKNOWN_START, True, False),
+        (UNKNOWN_START, 4, False, False),
+        (UNKNOWN_START, 4, True, False),
     )
     def test_names_replica(self, born, newest, most_have_start, wanted):
         """An entry without a start time is usable only if most have none.
@@ -129,7 +129,7 @@
         """The newest incarnation that was listed counts, or none."""
         for step in steps:
             self.step(step)
-        found = [each.born for each in self.fleet.ready('model')]
+        found = [each.started_at_ms for each in self.fleet.ready('model')]
         born = wanted and BORN + wanted
         self.assertEqual([] if wanted is None else [born], found)
 
--- a/tests/test_peer_strikes.py
+++ b/tests/test_peer_strikes.py
@@ -13,7 +13,7 @@
 from cactusridge.peers.peer_strikes import STRIKES, PeerStrikes
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from standins.ports import Ports
 from standins.waiting import wait_for
 from tests.cells_play import cells_of, places
@@ -27,7 +27,7 @@
         """Create an entry at ``address`` whose peers are at ``addresses``."""
         clock = SystemClock()
         self.address = address
-        self.suspects = Suspects(ByCrashes(), clock)
+        self.suspects = CrashEvidence(ByCrashes(), clock)
         self.sock = PeerSocket(address)
         fleet = FleetView()
         names = {str(each) for each in addresses}
@@ -38,13 +38,13 @@
             addresses,
             BatchSharing(fleet, cells),
         )
-        self.suspects.pass_on(PeerStrikes(exchange, self.suspects))
+        self.suspects.add_listener(PeerStrikes(exchange, self.suspects))
         exchange.start()
 
-    def crash(self, lives: str) -> None:
+    def crash(self, incarnations: str) -> None:
         """Record crashes of replicas under a request."""
-        for life in lives:
-            self.suspects.crashed('a', life, Stage.begun)
+        for incarnation in incarnations:
+            self.suspects.crashed('a', incarnation, Stage.started)
 
 
 class TestPeerStrikes(unittest.TestCase):
@@ -63,7 +63,7 @@
         for each in (self.one, self.two):
             wait_for(
                 f'held: {held}',
-                lambda each=each: each.suspects.is_held('a') == held,
+                lambda each=each: each.suspects.is_quarantined('a') == held,
             )
 
     def test_crashes_at_different_entries(self):
@@ -89,7 +89,7 @@
         """An entry withdraws strikes when the request completes there."""
         self.one.crash('123')
         self.wait_held(held=True)
-        self.two.suspects.survived('a')
+        self.two.suspects.record_completion('a')
         self.wait_held(held=False)
 
     @params(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket
-from cactusridge.peers.word import Word
+from cactusridge.peers.word import EntryStatus
 from standins.ports import Ports
 from standins.waiting import wait_for
 from tests.cells_play import (
@@ -48,9 +48,11 @@
             addresses,
             BatchSharing(fleet, cells),
         )
-        self.exchange.on_news(lambda subject, _: self.announced.append(subject))
-        self.statuses: list[Word] = []
-        self.exchange.on_word(lambda _, status: self.statuses.append(status))
+        self.exchange.on_announcement(
+            lambda subject, _: self.announced.append(subject)
+        )
+        self.statuses: list[EntryStatus] = []
+        self.exchange.on_status(lambda _, status: self.statuses.append(status))
         self.exchange.start()
 
 
@@ -71,30 +73,34 @@
 
     def test_counts_come_and_go(self):
         """A request is counted at the peer while it is in flight."""
-        with self.one.loads.running('x', BATCH):
+        with self.one.loads.count_request('x', BATCH):
             wait_for(
                 'the request is counted',
-                lambda: self.two.loads.at('x') == Load(0, 1),
+                lambda: self.two.loads.total_at('x') == Load(0, 1),
             )
         wait_for(
             'the request has ended',
-            lambda: self.two.loads.at('x') == Load(0, 0),
+            lambda: self.two.loads.total_at('x') == Load(0, 0),
         )
 
     def test_news(self):
         """An announcement reaches the peer."""
-        self.one.exchange.tell('job', 7)
+        self.one.exchange.announce('job', 7)
         wait_for('the announcement', lambda: 'job' in self.two.announced)
 
     def test_word(self):
-        """A status has the configuration version and ``store_s``."""
-        wait_for('a status', lambda: Word(3, True, 7) in self.two.statuses)
+        """A status has the configuration version and ``store_uptime_s``."""
+        wait_for(
+            'a status', lambda: EntryStatus(3, True, 7) in self.two.statuses
+        )
 
     def test_word_of_an_older_entry(self):
-        """A status without ``store_s`` has 0 s; its other fields apply."""
+        """A status without an uptime has 0 s; its other fields apply."""
         raw = orjson.dumps({ALL: {}, STATUS: [4, True]})
         self.one.sock.send_to(self.two.address, raw)
-        wait_for('the status', lambda: Word(4, True, 0) in self.two.statuses)
+        wait_for(
+            'the status', lambda: EntryStatus(4, True, 0) in self.two.statuses
+        )
 
     def test_unlisted_peer_is_answered(self):
         """An entry sends counts to all peers it receives from.
@@ -104,10 +110,10 @@
         addresses = self.addresses()
         unlisted = Peer(addresses[0], addresses)
         without_list = Peer(addresses[1], [])
-        with without_list.loads.running('x', BATCH):
+        with without_list.loads.count_request('x', BATCH):
             wait_for(
                 'the request is counted',
-                lambda: unlisted.loads.at('x') == Load(0, 1),
+                lambda: unlisted.loads.total_at('x') == Load(0, 1),
                 REPEATS_S,
             )
 
@@ -116,5 +122,5 @@
         for kind in WorkKind:
             sent = []
             self.one.sock.send_to = lambda peer, _: sent.append(peer)
-            with self.one.loads.running('i-0', kind):
+            with self.one.loads.count_request('i-0', kind):
                 self.assertEqual([self.two.address], sent)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -21,7 +21,7 @@
 from cactusridge.peers.load import Load
 from cactusridge.quarantine.policies import RULES
 from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
-from cactusridge.routing.outliers import OutlierEjector, TrustAll
+from cactusridge.routing.outliers import NoEjection, OutlierEjector
 from cactusridge.startup.models import DirectPolicy
 
 # The default class and the naive class of each setting.
@@ -29,7 +29,7 @@
     'placing': (LeastOnline, AnyReplica),
     'admission': (InTime, AdmitAll),
     'returns': (AfterBurst, NextSlot),
-    'outliers': (OutlierEjector, TrustAll),
+    'outliers': (OutlierEjector, NoEjection),
     'items': (OnTimeFirst, DueFirst),
     'claims': (ToldClaims, NoClaims),
     'cells': (ByZone, OneCell),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,15 +16,15 @@
     StrikeBook,
 )
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 
-QUEUED, BEGUN, ANSWERING = Stage.queued, Stage.begun, Stage.answering
+QUEUED, BEGUN, ANSWERING = Stage.queued, Stage.started, Stage.answering
 REQUEST = ('10.0.0.1', 'POST', 'h', '/p', b'b')
 
 
-def strike(fingerprint: str, life: str, stage: Stage = BEGUN) -> Strike:
+def strike(fingerprint: str, incarnation: str, stage: Stage = BEGUN) -> Strike:
     """Return a strike recorded at 0 s."""
-    return Strike(fingerprint, life, stage, 0)
+    return Strike(fingerprint, incarnation, stage, 0)
 
 
 class RecordingListener(StrikeListener):
@@ -90,9 +90,12 @@
     def test_held(self, recorded, wanted):
         """Crashes quarantine requests; the naive rule has no quarantine."""
         strikes = {}
-        for fingerprint, lives, stage in recorded:
+        for fingerprint, incarnations, stage in recorded:
             found = strikes.setdefault(fingerprint, {})
-            found |= {life: strike(fingerprint, life, stage) for life in lives}
+            found |= {
+                incarnation: strike(fingerprint, incarnation, stage)
+                for incarnation in incarnations
+            }
         self.assertEqual(frozenset(wanted), ByCrashes().quarantined(strikes))
         self.assertEqual(frozenset(), NoQuarantine().quarantined(strikes))
 
@@ -105,9 +108,12 @@
         self.clock = ManualClock()
         self.book = StrikeBook(ByCrashes(), self.clock)
 
-    def add(self, lives: str, fingerprint: str = 'a') -> list[bool]:
+    def add(self, incarnations: str, fingerprint: str = 'a') -> list[bool]:
         """Add strikes; return for each whether it is new."""
-        return [self.book.add(strike(fingerprint, life)) for life in lives]
+        return [
+            self.book.add(strike(fingerprint, incarnation))
+            for incarnation in incarnations
+        ]
 
     def test_same_life_counts_once(self):
         """A strike that is added again does not count twice."""
@@ -146,15 +152,15 @@
     def setUp(self):
         """Create an object with a listener."""
         self.clock = ManualClock()
-        self.suspects = Suspects(ByCrashes(), self.clock)
+        self.suspects = CrashEvidence(ByCrashes(), self.clock)
         self.listener = RecordingListener()
-        self.suspects.pass_on(self.listener)
+        self.suspects.add_listener(self.listener)
 
-    def crash(self, lives: str, fingerprint: str = 'a') -> None:
+    def crash(self, incarnations: str, fingerprint: str = 'a') -> None:
         """Record crashes of replicas under a request, one second apart."""
-        for life in lives:
+        for incarnation in incarnations:
             self.clock.advance(1)
-            self.suspects.crashed(fingerprint, life, BEGUN)
+            self.suspects.crashed(fingerprint, incarnation, BEGUN)
 
     def test_refusal(self):
         """Three crashes quarantine; the refusal says it did not run."""
@@ -178,8 +184,10 @@
 
     def test_heard_strikes_are_not_told_again(self):
         """Strikes of a peer count and are not published again."""
-        self.suspects.add_strikes([strike('a', life) for life in '123'])
-        self.assertTrue(self.suspects.is_held('a'))
+        self.suspects.add_strikes(
+            [strike('a', incarnation) for incarnation in '123']
+        )
+        self.assertTrue(self.suspects.is_quarantined('a'))
         self.assertEqual([], self.listener.strikes)
 
     @params(
@@ -195,14 +203,16 @@
         self.crash('123')
         self.clock.advance(later)
         self.suspects.answered('3', sent_at)
-        self.assertEqual(held, self.suspects.is_held('a'))
+        self.assertEqual(held, self.suspects.is_quarantined('a'))
         self.assertEqual([] if held else [('a', '3')], self.listener.pairs)
 
     def test_request_that_was_run_to_its_end(self):
         """A completed request caused none of the crashes recorded before."""
         self.crash('123')
         self.crash('456', 'b')
-        self.suspects.survived('a')
-        self.assertFalse(self.suspects.is_held('a'))
-        self.assertTrue(self.suspects.is_held('b'))
-        self.assertEqual([('a', life) for life in '123'], self.listener.pairs)
+        self.suspects.record_completion('a')
+        self.assertFalse(self.suspects.is_quarantined('a'))
+        self.assertTrue(self.suspects.is_quarantined('b'))
+        self.assertEqual(
+            [('a', incarnation) for incarnation in '123'], self.listener.pairs
+        )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,8 +11,8 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.routing.candidates import Candidate, PickRequest, load_of
-from cactusridge.routing.membership import Belief, Evidence, judge
-from cactusridge.routing.outliers import OutlierEjector, TrustAll
+from cactusridge.routing.membership import Evidence, HostStatus, host_status
+from cactusridge.routing.outliers import NoEjection, OutlierEjector
 from cactusridge.routing.pickers import PrefixPicker, RoundRobinPicker
 from cactusridge.routing.retry_budget import RetryBudget, RetryThrice
 from cactusridge.routing.subset import choose_subset
@@ -95,9 +95,9 @@
         st.floats(0, 100),
     )
     @settings(max_examples=100, deadline=None, derandomize=True)
-    def test_load_grows_with_own(self, own, reported, own_then, age_s):
+    def test_load_grows_with_own(self, own, reported, own_at_report, age_s):
         """An additional own request always increases the load of a replica."""
-        less = Candidate('x', 'a', own, reported, own_then, age_s, SLOTS)
+        less = Candidate('x', 'a', own, reported, own_at_report, age_s, SLOTS)
         more = less._replace(own=own + 1)
         self.assertGreaterEqual(load_of(less), 0)
         self.assertGreater(load_of(more), load_of(less))
@@ -123,41 +123,41 @@
 
     def test_failing_replica_is_out(self):
         """A failing replica is ejected; the naive detector keeps it."""
-        naive = TrustAll()
+        naive = NoEjection()
         for _ in range(9):
             naive.failed('a')
         self.fail('a')
-        self.assertEqual({'b', 'c', 'd'}, self.ejector.allowed(self.keys))
-        self.assertEqual(set(self.keys), naive.allowed(self.keys))
+        self.assertEqual({'b', 'c', 'd'}, self.ejector.selectable(self.keys))
+        self.assertEqual(set(self.keys), naive.selectable(self.keys))
 
     def test_slow_replica_is_out(self):
         """A pace far above the median ejects; a slightly slower one stays."""
         self.ejector.succeeded('a', 0.02)
-        self.assertIn('a', self.ejector.allowed(self.keys))
+        self.assertIn('a', self.ejector.selectable(self.keys))
         self.ejector.succeeded('a', 0.04)
-        self.assertNotIn('a', self.ejector.allowed(self.keys))
+        self.assertNotIn('a', self.ejector.selectable(self.keys))
 
     @params(1, 2, 3, 4)
     def test_half_stay(self, failing):
         """Half of the replicas may be chosen, however many fail."""
         for key in self.keys[:failing]:
             self.fail(key)
-        allowed = self.ejector.allowed(self.keys)
+        allowed = self.ejector.selectable(self.keys)
         self.assertEqual(max(2, 4 - failing), len(allowed))
 
     def test_trials(self):
         """A replica is tried after its ejection; a failed trial doubles it."""
         self.fail('a')
         self.clock.advance(2.1)
-        self.assertIn('a', self.ejector.allowed(self.keys))
+        self.assertIn('a', self.ejector.selectable(self.keys))
         self.fail('a', 1)
         self.clock.advance(2.1)
-        self.assertNotIn('a', self.ejector.allowed(self.keys))
+        self.assertNotIn('a', self.ejector.selectable(self.keys))
         self.clock.advance(2)
         self.ejector.succeeded('a', 0.01)
         self.ejector.succeeded('a', 0.01)
         self.fail('a', 2)
-        self.assertIn('a', self.ejector.allowed(self.keys))
+        self.assertIn('a', self.ejector.selectable(self.keys))
 
 
 class TestRetryBudget(unittest.TestCase):
@@ -169,7 +169,7 @@
         requests = 1000
         attempts = 0
         for _ in range(requests):
-            policy.request()
+            policy.record_request()
             attempts += 1
             tries = 1
             while policy.allow(tries):
@@ -182,7 +182,7 @@
         """The saved tokens are bounded after many successful requests."""
         budget = RetryBudget(0.1)
         for _ in range(100_000):
-            budget.request()
+            budget.record_request()
         allowed = sum(budget.allow(1) for _ in range(1000))
         self.assertEqual(50, allowed)
 
@@ -211,20 +211,20 @@
     """The state of a host from the list and its own responses."""
 
     @params(
-        (HostState.live, 0, 0, False, Belief.serving),
-        (HostState.live, 0, 2.9, False, Belief.serving),
-        (HostState.live, 0, 3.1, False, Belief.silent),
-        (HostState.live, 0, None, False, Belief.silent),
-        (HostState.live, 0, 0, True, Belief.leaving),
-        (HostState.leaving, 0, 0, False, Belief.leaving),
-        (HostState.leaving, 0, 9, True, Belief.leaving),
-        (None, 29, 0, False, Belief.serving),
-        (None, 31, 0, False, Belief.gone),
-        (None, 1, 3.1, False, Belief.gone),
-        (None, 1, None, False, Belief.gone),
-        (None, 1, 0, True, Belief.leaving),
+        (HostState.live, 0, 0, False, HostStatus.serving),
+        (HostState.live, 0, 2.9, False, HostStatus.serving),
+        (HostState.live, 0, 3.1, False, HostStatus.silent),
+        (HostState.live, 0, None, False, HostStatus.silent),
+        (HostState.live, 0, 0, True, HostStatus.leaving),
+        (HostState.leaving, 0, 0, False, HostStatus.leaving),
+        (HostState.leaving, 0, 9, True, HostStatus.leaving),
+        (None, 29, 0, False, HostStatus.serving),
+        (None, 31, 0, False, HostStatus.removed),
+        (None, 1, 3.1, False, HostStatus.removed),
+        (None, 1, None, False, HostStatus.removed),
+        (None, 1, 0, True, HostStatus.leaving),
     )
     def test_word_against_word(self, listed, unlisted, heard, drains, wanted):
         """The state follows from list, silence and drain as in the table."""
         evidence = Evidence(listed, unlisted, heard, drains, PROBE_S)
-        self.assertEqual(wanted, judge(evidence))
+        self.assertEqual(wanted, host_status(evidence))
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -28,8 +28,8 @@
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import Suspects
-from cactusridge.routing.outliers import TrustAll
+from cactusridge.quarantine.suspects import CrashEvidence
+from cactusridge.routing.outliers import NoEjection
 
 REQUEST = UpstreamRequest('r', 'POST', '/', [], b'', 'f')
 REPLICA = Replica('a', 's', Address('127.0.0.1', 1), 'z', 8, ReplicaState.ready)
@@ -95,11 +95,11 @@
     def play(self, upstream, kind, output=False, aborted=False):
         """Run a request until it fails; return the recorded stages."""
         clock = ManualClock()
-        suspects = Suspects(ByCrashes(), clock)
+        suspects = CrashEvidence(ByCrashes(), clock)
         listener = Stages()
-        suspects.pass_on(listener)
+        suspects.add_listener(listener)
         loads = LoadTable(clock)
-        runner = Runner(upstream, loads, TrustAll(), suspects, clock)
+        runner = Runner(upstream, loads, NoEjection(), suspects, clock)
         run = runner.open(REPLICA, REQUEST, kind, 1)
         if aborted:
             run.abort()
@@ -113,14 +113,14 @@
         return listener
 
     @params(
-        (OutcomeUnknown(), False, ONLINE, False, [Stage.begun]),
+        (OutcomeUnknown(), False, ONLINE, False, [Stage.started]),
         (OutcomeUnknown(), False, BATCH, False, [Stage.queued]),
-        (TruncatedReply(), True, ONLINE, False, [Stage.begun]),
-        (TruncatedReply(), True, BATCH, False, [Stage.begun]),
+        (TruncatedReply(), True, ONLINE, False, [Stage.started]),
+        (TruncatedReply(), True, BATCH, False, [Stage.started]),
         (TruncatedReply(), True, ONLINE, True, [Stage.answering]),
         (TruncatedReply(), True, BATCH, True, [Stage.answering]),
-        (UpstreamSilent(), False, ONLINE, False, [Stage.begun]),
-        (UpstreamSilent(), True, ONLINE, False, [Stage.begun]),
+        (UpstreamSilent(), False, ONLINE, False, [Stage.started]),
+        (UpstreamSilent(), True, ONLINE, False, [Stage.started]),
         (UpstreamSilent(), True, ONLINE, True, [Stage.answering]),
         (UpstreamSilent(), False, BATCH, False, [Stage.queued]),
         (CrossedReply(), False, ONLINE, False, []),
@@ -139,7 +139,7 @@
         """
         upstream = Breaking(OutcomeUnknown(), headed=False, lives=False)
         listener = self.play(upstream, ONLINE, aborted=True)
-        self.assertEqual([Stage.begun], listener.stages)
+        self.assertEqual([Stage.started], listener.stages)
 
     @params(
         (OutcomeUnknown(), False, False),
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -11,7 +11,7 @@
 from cactusridge.quarantine.strike import Stage, Strike
 from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Priority, Row, Write
 from cactusridge.store.table_follower import TableListener
@@ -25,14 +25,14 @@
 
 
 class Entry:
-    """Suspects of an entry over a table."""
+    """CrashEvidence of an entry over a table."""
 
     def __init__(self, table: MemoryTable, clock: ManualClock) -> None:
         """Write as soon as there is something."""
-        self.suspects = Suspects(ByCrashes(), clock)
+        self.suspects = CrashEvidence(ByCrashes(), clock)
         self._table = table
         self.store = StrikeStore(table, PREFIX, self.suspects, clock, LEAST)
-        self.suspects.pass_on(self.store)
+        self.suspects.add_listener(self.store)
         self.writer = gevent.spawn(keep_doing, self.store.step)
 
     def read(self) -> None:
@@ -42,10 +42,10 @@
         for row in rows:
             self.store.put(row)
 
-    def crash(self, lives: str) -> None:
+    def crash(self, incarnations: str) -> None:
         """Let replicas break off under a request."""
-        for life in lives:
-            self.suspects.crashed('a', life, Stage.begun)
+        for incarnation in incarnations:
+            self.suspects.crashed('a', incarnation, Stage.started)
 
 
 class TestStrikeStore(unittest.TestCase):
@@ -72,9 +72,9 @@
         wait_for(f'{count} rows', lambda: len(self.rows()) == count, 3)
 
     @params(('1', 0), ('12', 2), ('1234', 4))
-    def test_stored(self, lives, count):
+    def test_stored(self, incarnations, count):
         """One strike alone is not stored; a second brings the first."""
-        self.one.crash(lives)
+        self.one.crash(incarnations)
         gevent.sleep(0.05)
         self.wait_rows(count)
 
@@ -84,7 +84,7 @@
         self.wait_rows(3)
         other = self.entry()
         other.read()
-        self.assertTrue(other.suspects.is_held('a'))
+        self.assertTrue(other.suspects.is_quarantined('a'))
 
     def test_taken_back(self):
         """What an entry takes back counts at no other."""
@@ -93,10 +93,10 @@
         other = self.entry()
         for each in (self.one, other):
             each.read()
-        other.suspects.survived('a')
+        other.suspects.record_completion('a')
         self.wait_rows(0)
         self.one.read()
-        self.assertFalse(self.one.suspects.is_held('a'))
+        self.assertFalse(self.one.suspects.is_quarantined('a'))
 
     def test_row_written_after_it_was_taken_back(self):
         """A write that the store did late is undone."""
@@ -104,7 +104,7 @@
         self.wait_rows(2)
         late = self.rows()[0]
         self.one.read()
-        self.one.suspects.survived('a')
+        self.one.suspects.record_completion('a')
         self.wait_rows(0)
         self.table.transact([], [Write(late.key, late.value)], Priority.commit)
         self.one.read()
@@ -132,7 +132,7 @@
         with self.assertRaises(UnreadableRecord):
             self.one.store.put(Row(f'{PREFIX}x', raw, 1))
         self.one.crash('123')
-        self.assertTrue(self.one.suspects.is_held('a'))
+        self.assertTrue(self.one.suspects.is_quarantined('a'))
 
 
 class Kept(TableListener):
@@ -178,8 +178,11 @@
         table = MemoryTable()
         entry = Entry(table, ManualClock(1))
         self.addCleanup(entry.writer.kill)
-        lives = ('x' * 214, 'y' * 214)
-        long = [Strike('a' * 32, life, Stage.begun, 1) for life in lives]
+        incarnations = ('x' * 214, 'y' * 214)
+        long = [
+            Strike('a' * 32, incarnation, Stage.started, 1)
+            for incarnation in incarnations
+        ]
         entry.store.publish_strikes(long)
         wait_for('rows', lambda: len(table.scan(PREFIX, Priority.commit)) == 2)
         keys = [row.key for row in table.scan(PREFIX, Priority.commit)]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -17,7 +17,7 @@
 from cactusridge.peers.load import WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierEjector
 
 FAILURES = 2
@@ -72,11 +72,11 @@
         clock = ManualClock()
         health = OutlierEjector(clock, FAILURES)
         loads = LoadTable(clock)
-        suspects = Suspects(ByCrashes(), clock)
+        suspects = CrashEvidence(ByCrashes(), clock)
         runner = Runner(Answering(status), loads, health, suspects, clock)
         replica = Replica('a', 's', ADDRESS, 'z', 8, ReplicaState.ready)
         for _ in range(times):
             run = runner.open(replica, REQUEST, kind, 1)
             run.head(1)
             run.close()
-        self.assertEqual(out, 'a' not in health.allowed(KEYS))
+        self.assertEqual(out, 'a' not in health.selectable(KEYS))
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -18,7 +18,7 @@
 from cactusridge.jobs.urgency import OnTimeFirst
 from cactusridge.jobs.waiting_line import WaitingLine
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 
 ACCEPTED_UNDER = 5
 NOW_MS = 1000
@@ -103,7 +103,7 @@
             store_clock,
             lambda: catalog,
             OnTimeFirst(),
-            Suspects(ByCrashes(), ManualClock()),
+            CrashEvidence(ByCrashes(), ManualClock()),
         )
         job = FakeJob()
         found = line.urgent_first([job])
