--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -121,7 +121,7 @@
 
 def _scan(raw: bytes, watch: LeaseWatch, order: LeastSlack) -> None:
     rows = [Row(*row) for row in wire.decode(raw)]
-    free = [row for row in rows if watch.free(row)]
+    free = [row for row in rows if watch.may_take(row)]
     order.rank([Span(**row.value) for row in free], [], 0)
 
 
--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -87,7 +87,7 @@
             lambda row: (row, parse_span(row)),
         )
         available = [
-            each for each in readable if self._lease_watch.free(each[0])
+            each for each in readable if self._lease_watch.may_take(each[0])
         ]
         spans = {span.name: row for row, span in available}
         free_capacity = self._cfg.max_spans - len(self._runners)
--- a/cactusridge/batch/file_store.py
+++ b/cactusridge/batch/file_store.py
@@ -123,7 +123,7 @@
             raise NotFound(f'file {name} does not exist')
         return found
 
-    def names(self, team: str) -> list[dict[str, object]]:
+    def page(self, team: str) -> list[dict[str, object]]:
         """Return the listed fields of a page of the team's files.
 
         Files whose rows are unreadable are left out.
--- a/cactusridge/batch/watchlist.py
+++ b/cactusridge/batch/watchlist.py
@@ -28,7 +28,7 @@
         self._clock = clock
         self._seen: OrderedDict[str, Seen] = OrderedDict()
 
-    def free(self, row: Row) -> bool:
+    def may_take(self, row: Row) -> bool:
         """Return whether the span in ``row`` may be taken now.
 
         True if it has no holder or its row has been unchanged for longer
--- a/cactusridge/dispatch/online.py
+++ b/cactusridge/dispatch/online.py
@@ -55,7 +55,7 @@
         except CactusridgeError as exc:
             exc.not_run = progress.may_have_run == 0
             if exc.not_run:
-                call.permit.give_back()
+                call.permit.undo_count()
             self._log.failure(call, progress, exc)
             raise
 
--- a/cactusridge/dispatch/online_call.py
+++ b/cactusridge/dispatch/online_call.py
@@ -6,7 +6,7 @@
 from cactusridge.dispatch.caller import CallerWatch
 from cactusridge.dispatch.catalog import Route
 from cactusridge.dispatch.upstream import HeaderList, UpstreamRequest
-from cactusridge.organisations.permit import OPEN, Permit
+from cactusridge.organisations.permit import OPEN_PERMIT, Permit
 
 
 class OnlineCall(NamedTuple):
@@ -21,7 +21,7 @@
     arrived_at: float
     deadline_at: float
     caller: CallerWatch
-    permit: Permit = OPEN
+    permit: Permit = OPEN_PERMIT
 
 
 class Answer(NamedTuple):
--- a/cactusridge/entry/files.py
+++ b/cactusridge/entry/files.py
@@ -65,7 +65,7 @@
 
     def page(self, req: Req) -> Reply:
         """List the team's files."""
-        rows = self._files.names(self._parts.team_of(req))
+        rows = self._files.page(self._parts.team_of(req))
         listed = [_row_entry(row) for row in rows]
         return json_reply(
             {'object': 'list', 'data': listed, 'has_more': False},
--- a/cactusridge/organisations/directory.py
+++ b/cactusridge/organisations/directory.py
@@ -7,7 +7,7 @@
 from cactusridge.organisations.organisation import Organisation
 
 
-class Holder(NamedTuple):
+class KeyOwner(NamedTuple):
     """An organisation and the SHA-256 digests (hex) of its API keys."""
 
     organisation: Organisation
@@ -17,7 +17,7 @@
 class Directory:
     """Looks up organisations by key digest and by name; immutable."""
 
-    def __init__(self, holders: Iterable[Holder]) -> None:
+    def __init__(self, holders: Iterable[KeyOwner]) -> None:
         """Index ``holders`` by key digest and by organisation name."""
         listed = tuple(holders)
         self._by_digest: Mapping[str, Organisation] = MappingProxyType(
--- a/cactusridge/organisations/errors.py
+++ b/cactusridge/organisations/errors.py
@@ -12,7 +12,7 @@
     """The key is missing or unknown."""
 
 
-class KeysUnsure(Refused):
+class KeysUnconfirmed(Refused):
     """This entry cannot confirm that its copy of the API keys is current."""
 
     code = 'keys_unsure'
@@ -25,7 +25,7 @@
     code = 'over_limit'
 
 
-class LimitUnsure(Refused):
+class LimitUnavailable(Refused):
     """No entry that counts the organisation's rate limit could be reached."""
 
     code = 'limit_unsure'
--- a/cactusridge/organisations/home_limits.py
+++ b/cactusridge/organisations/home_limits.py
@@ -1,10 +1,14 @@
 """Rate limiter that counts each organisation at a single owner entry."""
 
 from cactusridge.clock import Clock
-from cactusridge.organisations.errors import LimitUnsure
-from cactusridge.organisations.homes import Homes
-from cactusridge.organisations.limit_ask import Asker, LimitAsk, LimitTold
-from cactusridge.organisations.limit_home import LimitHome
+from cactusridge.organisations.errors import LimitUnavailable
+from cactusridge.organisations.homes import LimitOwners
+from cactusridge.organisations.limit_ask import (
+    LimitClient,
+    LimitRequest,
+    LimitResponse,
+)
+from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 
@@ -12,7 +16,7 @@
 PEER_BACKOFF_S = 0.5
 
 
-class HomeLimits(Limiter):
+class OwnerLimiter(Limiter):
     """Requests a token from an organisation's owner for every call.
 
     Each call costs one request and one response datagram, plus one copy
@@ -24,20 +28,20 @@
     def __init__(
         self,
         own_name: str,
-        homes: Homes,
-        home: LimitHome,
-        asker: Asker,
+        owners: LimitOwners,
+        counter: LimitCounter,
+        client: LimitClient,
         clock: Clock,
     ) -> None:
         """Create the limiter of the entry whose address is ``own_name``.
 
-        ``home`` counts the requests that this entry itself owns; ``asker``
+        ``counter`` counts the requests that this entry itself owns; ``client``
         sends requests to the other entries.
         """
         self._own_name = own_name
-        self._homes = homes
-        self._home = home
-        self._asker = asker
+        self._owners = owners
+        self._counter = counter
+        self._client = client
         self._clock = clock
         self._backoff_until: dict[str, float] = {}
         # Entries in backoff whose process is known to have exited.
@@ -47,29 +51,33 @@
         """Request a token from the owner, then from each backup owner.
 
         Returns 0, or the seconds until a token is available. Raises
-        LimitUnsure if no entry counted the request.
+        LimitUnavailable if no entry counted the request.
         """
-        request = LimitAsk(name, limit, version)
-        for entry in self._homes.ranked(name):
+        request = LimitRequest(name, limit, version)
+        for entry in self._owners.ranked_entries(name):
             reply = self._request(entry, request)
             if reply is not None and reply.counted:
                 return reply.wait_s
-            first = not request.stand_in
-            alone = (first or request.alone) and self._is_known_ended(entry)
-            request = request._replace(stand_in=True, alone=alone)
-        raise LimitUnsure
+            first = not request.as_backup
+            owners_exited = (
+                first or request.owners_exited
+            ) and self._is_known_ended(entry)
+            request = request._replace(
+                as_backup=True, owners_exited=owners_exited
+            )
+        raise LimitUnavailable
 
-    def give_back(self, name: str) -> None:
+    def return_token(self, name: str) -> None:
         """Return a token to the owner.
 
         The datagram is not acknowledged: if it is lost, the organisation
         loses that one token.
         """
-        home = self._homes.ranked(name)[0]
-        if home == self._own_name:
-            self._home.give_back(name)
+        owner = self._owners.ranked_entries(name)[0]
+        if owner == self._own_name:
+            self._counter.return_token(name)
         else:
-            self._asker.give_back(home, name)
+            self._client.return_token(owner, name)
 
     def _is_known_ended(self, entry: str) -> bool:
         """Return whether ``entry`` is in backoff and known to have exited."""
@@ -77,12 +85,14 @@
             return False
         return self._backoff_until.get(entry, 0) > self._clock.monotonic()
 
-    def _request(self, entry: str, request: LimitAsk) -> LimitTold | None:
+    def _request(
+        self, entry: str, request: LimitRequest
+    ) -> LimitResponse | None:
         if entry == self._own_name:
-            return self._home.answer(request)
+            return self._counter.count(request)
         if self._backoff_until.get(entry, 0) > self._clock.monotonic():
             return None
-        reply = self._asker.ask(entry, request)
+        reply = self._client.request(entry, request)
         if reply is None:
             backoff_until = self._clock.monotonic() + PEER_BACKOFF_S
             self._backoff_until[entry] = backoff_until
@@ -91,7 +101,7 @@
 
     def _record_end(self, entry: str) -> None:
         """Record whether an unresponsive entry's process has exited."""
-        if self._asker.has_ended(entry):
+        if self._client.has_exited(entry):
             self._ended.add(entry)
         else:
             self._ended.discard(entry)
--- a/cactusridge/organisations/homes.py
+++ b/cactusridge/organisations/homes.py
@@ -16,7 +16,7 @@
 
 MS_PER_S = 1000
 # Seconds between two updates of the set of entries that may be owners.
-LOOK_S = 0.5
+UPDATE_INTERVAL_S = 0.5
 # Milliseconds of uninterrupted membership before an entry may be an owner.
 SETTLE_MS = 3000
 # Further milliseconds before a new owner counts requests. The other entries
@@ -38,7 +38,7 @@
     since_ms: int
 
 
-class Homes:
+class LimitOwners:
     """Owners and backup owners of organisations, as seen by one entry.
 
     ``changes`` counts how often the set of possible owners has changed.
@@ -70,14 +70,14 @@
         # Ranked entries of the organisations queried since the last change.
         self._ranked: dict[str, list[str]] = {}
 
-    def ranked(self, organisation: str) -> list[str]:
+    def ranked_entries(self, organisation: str) -> list[str]:
         """Return the owner of an organisation, then its backup owners.
 
         The list holds up to MAX_RANKED peer addresses and is empty while
         no entry may be an owner.
         """
         if not self._eligible:
-            self.look()
+            self.update()
         found = self._ranked.get(organisation)
         if found is None:
             found = rendezvous(self._eligible, hash64(organisation))[
@@ -91,7 +91,7 @@
 
         Returns None if this entry is not the owner or may not count now.
         """
-        if self.ranked(organisation)[:1] != [self._own_name]:
+        if self.ranked_entries(organisation)[:1] != [self._own_name]:
             return None
         if not (self._may_count and self._is_current()):
             return None
@@ -99,9 +99,9 @@
 
     def is_backup(self, organisation: str) -> bool:
         """Return whether this entry is a backup owner of an organisation."""
-        return self._own_name in self.ranked(organisation)[1:]
+        return self._own_name in self.ranked_entries(organisation)[1:]
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Update the possible owners and whether this entry may count."""
         listed = self._listed()
         settled_ms = _settled_ms(listed, self._now_ms() - SETTLE_MS)
--- a/cactusridge/organisations/key_check.py
+++ b/cactusridge/organisations/key_check.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cactusridge.organisations.directory import Directory
-from cactusridge.organisations.errors import KeysUnsure, UnknownKey
+from cactusridge.organisations.errors import KeysUnconfirmed, UnknownKey
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.keys import bearer_key, key_digest
 from cactusridge.organisations.organisation import Organisation
@@ -41,7 +41,7 @@
         """Return the holder of the key in an ``Authorization`` header.
 
         Raises UnknownKey if the key is missing or not in ``directory``,
-        and KeysUnsure if this entry's copy of the keys may be out of date.
+        and KeysUnconfirmed if this entry's copy of the keys may be out of date.
         """
         key = bearer_key(authorization)
         if key is None:
@@ -50,7 +50,7 @@
         digest = key_digest(key)
         found = directory.by_digest(digest)
         if found is None and self._maybe_stale():
-            raise KeysUnsure(
+            raise KeysUnconfirmed(
                 "the key may be newer than this entry's copy of the keys",
             )
         if found is None:
@@ -58,6 +58,6 @@
         return KeyHolder(digest, found)
 
     def check_lease(self) -> None:
-        """Raise KeysUnsure unless the key lease is valid."""
+        """Raise KeysUnconfirmed unless the key lease is valid."""
         if not self._lease.valid:
-            raise KeysUnsure
+            raise KeysUnconfirmed
--- a/cactusridge/organisations/key_lease.py
+++ b/cactusridge/organisations/key_lease.py
@@ -43,7 +43,7 @@
         """Seconds between two full reads of the catalog."""
         return REREAD_S if self._duration_s is None else LEASED_REREAD_S
 
-    def read(self, started_at: float) -> None:
+    def renew(self, started_at: float) -> None:
         """Renew the lease after a read of the catalog.
 
         ``started_at`` is the time at which the read was started, by this
@@ -51,7 +51,7 @@
         """
         self._confirm(started_at)
 
-    def quiet(self, started_at: float) -> None:
+    def renew_from_watch(self, started_at: float) -> None:
         """Renew the lease after a response to a watch on the catalog.
 
         ``started_at`` is the time at which the watch request was sent. The
@@ -72,7 +72,7 @@
         return age_s < self._duration_s - MARGIN_S
 
     @property
-    def bounded(self) -> bool:
+    def expires(self) -> bool:
         """Whether the lease can expire."""
         return self._duration_s is not None
 
--- a/cactusridge/organisations/key_source.py
+++ b/cactusridge/organisations/key_source.py
@@ -7,17 +7,17 @@
 class KeysConfirmed(NamedTuple):
     """Confirmation that a catalog version was the newest at some time.
 
-    ``at`` is that time in seconds of this process's clock; the version may
-    still have been the newest later.
+    ``confirmed_at`` is that time in seconds of this process's clock; the
+    version may still have been the newest later.
     """
 
     version: int
-    at: float
+    confirmed_at: float
 
 
 class KeySource(abc.ABC):
     """Supplies an entry's confirmation to peers that cannot read the store."""
 
     @abc.abstractmethod
-    def confirmed(self) -> KeysConfirmed | None:
+    def confirmation(self) -> KeysConfirmed | None:
         """Return the last confirmation, or None without a valid lease."""
--- a/cactusridge/organisations/limit_ask.py
+++ b/cactusridge/organisations/limit_ask.py
@@ -6,24 +6,24 @@
 from cactusridge.organisations.organisation import RateLimit
 
 
-class LimitAsk(NamedTuple):
+class LimitRequest(NamedTuple):
     """Request to count one call of the organisation ``name``.
 
-    ``version`` is the catalog version that contains ``limit``. ``stand_in``
+    ``version`` is the catalog version that contains ``limit``. ``as_backup``
     is set if the receiver should count as a backup owner, because the owner
-    did not respond. ``alone`` is set if the processes of all entries
+    did not respond. ``owners_exited`` is set if the processes of all entries
     that were tried before are known to have exited.
     """
 
     name: str
     limit: RateLimit
     version: int
-    stand_in: bool = False
-    alone: bool = False
+    as_backup: bool = False
+    owners_exited: bool = False
 
 
-class LimitTold(NamedTuple):
-    """Response to LimitAsk.
+class LimitResponse(NamedTuple):
+    """Response to LimitRequest.
 
     ``wait_s`` is the number of seconds until the call may run, 0 if it may
     run now. ``counted`` is False if the responding entry does not count
@@ -46,18 +46,20 @@
     tokens: float
 
 
-NOT_COUNTED = LimitTold(counted=False)
+NOT_COUNTED = LimitResponse(counted=False)
 
 
-class Asker(abc.ABC):
+class LimitClient(abc.ABC):
     """Sends limit requests to other entries."""
 
     @abc.abstractmethod
-    def ask(self, entry: str, request: LimitAsk) -> LimitTold | None:
+    def request(
+        self, entry: str, request: LimitRequest
+    ) -> LimitResponse | None:
         """Return the response of ``entry``, or None after a timeout."""
 
     @abc.abstractmethod
-    def has_ended(self, entry: str) -> bool:
+    def has_exited(self, entry: str) -> bool:
         """Return whether an unresponsive entry's process has surely exited.
 
         Returns False for an entry that is unreachable or whose host is
@@ -65,5 +67,5 @@
         """
 
     @abc.abstractmethod
-    def give_back(self, entry: str, name: str) -> None:
+    def return_token(self, entry: str, name: str) -> None:
         """Notify ``entry`` that a request it counted has not run."""
--- a/cactusridge/organisations/limit_home.py
+++ b/cactusridge/organisations/limit_home.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from cactusridge.clock import Clock
-from cactusridge.organisations.homes import Homes
+from cactusridge.organisations.homes import LimitOwners
 from cactusridge.organisations.limit_ask import (
     NOT_COUNTED,
-    LimitAsk,
     LimitCopy,
-    LimitTold,
+    LimitRequest,
+    LimitResponse,
 )
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
@@ -34,7 +34,7 @@
         self.version = version
 
 
-class LimitHome:
+class LimitCounter:
     """Counts requests that this entry and others send to it for counting.
 
     After each request the owner sends the remaining tokens to the backup
@@ -46,11 +46,11 @@
     the previous owner admitted; so the two together stay within the limit.
     """
 
-    def __init__(self, homes: Homes, clock: Clock) -> None:
-        """Count organisations that ``homes`` assigns to this entry."""
-        self._homes = homes
+    def __init__(self, owners: LimitOwners, clock: Clock) -> None:
+        """Count organisations that ``owners`` assigns to this entry."""
+        self._owners = owners
         self._clock = clock
-        self._changes = homes.changes
+        self._changes = owners.changes
         self._owned_counts: dict[str, _VersionedBucket] = {}
         self._backup_copies: dict[str, _VersionedBucket] = {}
         self._backup_counts: dict[str, _VersionedBucket] = {}
@@ -63,29 +63,29 @@
         """
         self._counted_listener = listener
 
-    def answer(self, request: LimitAsk) -> LimitTold:
+    def count(self, request: LimitRequest) -> LimitResponse:
         """Count a request if this entry is the owner or a backup owner.
 
         Otherwise the response has ``counted`` set to False.
         """
         self._drop_foreign_counts()
-        owned_s = self._homes.owned_s(request.name)
+        owned_s = self._owners.owned_s(request.name)
         if owned_s is not None:
             return self._count_as_owner(request, owned_s)
-        if request.stand_in:
+        if request.as_backup:
             return self._count_as_backup(request)
         return NOT_COUNTED
 
-    def give_back(self, name: str) -> None:
+    def return_token(self, name: str) -> None:
         """Return the token of a request that has not run."""
         found = self._owned_counts.get(name)
         if found is not None:
             found.bucket.put_back()
 
-    def copied(self, copy: LimitCopy) -> None:
+    def store_copy(self, copy: LimitCopy) -> None:
         """Store the owner's remaining tokens if this is a backup owner."""
         self._drop_foreign_counts()
-        if not self._homes.is_backup(copy.name):
+        if not self._owners.is_backup(copy.name):
             return
         now = self._clock.monotonic()
         limit = _with_tolerance(copy.limit)
@@ -99,7 +99,9 @@
         _apply_version(known, limit, copy.version, now)
         known.bucket.lower_to(copy.tokens, now)
 
-    def _count_as_owner(self, request: LimitAsk, owned_s: float) -> LimitTold:
+    def _count_as_owner(
+        self, request: LimitRequest, owned_s: float
+    ) -> LimitResponse:
         """Count a request as the owner.
 
         ``owned_s`` is the number of seconds since this entry became owner.
@@ -124,12 +126,16 @@
                 request.name, request.limit, request.version, tokens
             )
             self._counted_listener(copy)
-        return LimitTold(counted=True, wait_s=wait_s)
+        return LimitResponse(counted=True, wait_s=wait_s)
 
-    def _count_as_backup(self, request: LimitAsk) -> LimitTold:
+    def _count_as_backup(self, request: LimitRequest) -> LimitResponse:
         """Count a request as a backup owner of an unresponsive owner."""
         now = self._clock.monotonic()
-        found = self._backup_copies.get(request.name) if request.alone else None
+        found = (
+            self._backup_copies.get(request.name)
+            if request.owners_exited
+            else None
+        )
         limit = _with_tolerance(request.limit)
         if found is None:
             found = self._backup_counts.get(request.name)
@@ -139,15 +145,15 @@
             found = _VersionedBucket(bucket, request.version)
             self._backup_counts[request.name] = found
         _apply_version(found, limit, request.version, now)
-        return LimitTold(counted=True, wait_s=found.bucket.take(now))
+        return LimitResponse(counted=True, wait_s=found.bucket.take(now))
 
     def _drop_foreign_counts(self) -> None:
         """Drop counts of organisations that moved to other entries."""
-        if self._homes.changes == self._changes:
+        if self._owners.changes == self._changes:
             return
-        self._changes = self._homes.changes
+        self._changes = self._owners.changes
         for name in list(self._owned_counts):
-            if self._homes.owned_s(name) is None:
+            if self._owners.owned_s(name) is None:
                 self._owned_counts.pop(name)
         for copied in list(self._backup_copies):
             if not self._is_owner_or_backup(copied):
@@ -155,8 +161,8 @@
 
     def _is_owner_or_backup(self, name: str) -> bool:
         """Return whether this entry counts ``name`` as owner or backup."""
-        is_owner = self._homes.owned_s(name) is not None
-        return is_owner or self._homes.is_backup(name)
+        is_owner = self._owners.owned_s(name) is not None
+        return is_owner or self._owners.is_backup(name)
 
 
 def _apply_version(
--- a/cactusridge/organisations/limiter.py
+++ b/cactusridge/organisations/limiter.py
@@ -24,7 +24,7 @@
         """Count a request of ``organisation``.
 
         ``version`` is the catalog version that contains its limit. Raises
-        OverLimit if the limit is exceeded, and LimitUnsure if no entry
+        OverLimit if the limit is exceeded, and LimitUnavailable if no entry
         that counts the organisation could be reached.
         """
         if organisation.limit is None:
@@ -37,7 +37,7 @@
             )
 
     @abc.abstractmethod
-    def give_back(self, name: str) -> None:
+    def return_token(self, name: str) -> None:
         """Return the token of a request that has not run."""
 
     @abc.abstractmethod
@@ -45,7 +45,7 @@
         """Take a token for one request of the organisation ``name``.
 
         Returns 0 if the request may run, else the seconds until the next
-        token is available. Raises LimitUnsure.
+        token is available. Raises LimitUnavailable.
         """
 
 
@@ -75,7 +75,7 @@
             bucket.change(share, now)
         return bucket.take(now)
 
-    def give_back(self, name: str) -> None:
+    def return_token(self, name: str) -> None:
         """Return a token to this entry's share."""
         self._buckets[name].put_back()
 
@@ -87,5 +87,5 @@
         """Admit the request without counting it."""
         return 0
 
-    def give_back(self, name: str) -> None:
+    def return_token(self, name: str) -> None:
         """Do nothing, since no request is counted."""
--- a/cactusridge/organisations/permit.py
+++ b/cactusridge/organisations/permit.py
@@ -15,21 +15,21 @@
 
     @abc.abstractmethod
     def check(self) -> None:
-        """Raise UnknownKey or KeysUnsure unless the request may be sent."""
+        """Raise UnknownKey or KeysUnconfirmed unless the request may go."""
 
     @abc.abstractmethod
     def count(self) -> None:
         """Count the request against its organisation's rate limit.
 
-        Raises OverLimit or LimitUnsure.
+        Raises OverLimit or LimitUnavailable.
         """
 
     @abc.abstractmethod
-    def give_back(self) -> None:
+    def undo_count(self) -> None:
         """Undo the count of a request that has not run and never will."""
 
 
-class Open(Permit):
+class OpenPermit(Permit):
     """Permit for requests that need no API key; allows every request."""
 
     def check(self) -> None:
@@ -38,11 +38,11 @@
     def count(self) -> None:
         """Do nothing, since no rate limit applies."""
 
-    def give_back(self) -> None:
+    def undo_count(self) -> None:
         """Do nothing, since the request was not counted."""
 
 
-OPEN: Final = Open()
+OPEN_PERMIT: Final = OpenPermit()
 
 
 class KeyPermit(Permit):
@@ -71,7 +71,7 @@
         self._counted = False
 
     def check(self) -> None:
-        """Raise UnknownKey or KeysUnsure unless the key is still valid.
+        """Raise UnknownKey or KeysUnconfirmed unless the key is still valid.
 
         The key must still belong to the organisation that the request was
         authenticated for.
@@ -87,7 +87,7 @@
     def count(self) -> None:
         """Count the request once, however many attempts are sent.
 
-        Raises OverLimit, LimitUnsure, UnknownKey or KeysUnsure.
+        Raises OverLimit, LimitUnavailable, UnknownKey or KeysUnconfirmed.
         """
         if self._counted:
             return
@@ -97,8 +97,8 @@
         # while the request to the limiter was pending.
         self.check()
 
-    def give_back(self) -> None:
+    def undo_count(self) -> None:
         """Undo the count if the request was counted against a limit."""
         if self._counted and self._organisation.limit is not None:
-            self._limiter.give_back(self._organisation.name)
+            self._limiter.return_token(self._organisation.name)
         self._counted = False
--- a/cactusridge/organisations/policies.py
+++ b/cactusridge/organisations/policies.py
@@ -2,9 +2,9 @@
 
 from types import MappingProxyType
 
-from cactusridge.organisations.home_limits import HomeLimits
+from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.limiter import FixedShares, NoLimits
 
 LIMITERS = MappingProxyType(
-    {'homes': HomeLimits, 'shares': FixedShares, 'none': NoLimits},
+    {'homes': OwnerLimiter, 'shares': FixedShares, 'none': NoLimits},
 )
--- a/cactusridge/peers/key_questions.py
+++ b/cactusridge/peers/key_questions.py
@@ -70,9 +70,9 @@
         return KeysConfirmed(version, sent_at - age_s)
 
     def _handle_request(self, peer: Target, raw: Any) -> None:
-        confirmed = self._source.confirmed()
+        confirmed = self._source.confirmation()
         if confirmed is not None:
-            age_s = self._clock.monotonic() - confirmed.at
+            age_s = self._clock.monotonic() - confirmed.confirmed_at
             self._peers.send_to(
                 peer, RESPONSE_TOPIC, [raw, confirmed.version, age_s]
             )
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_questions.py
@@ -7,14 +7,14 @@
 from gevent.event import AsyncResult
 
 from cactusridge.http.client import parse_address
-from cactusridge.organisations.homes import Homes
+from cactusridge.organisations.homes import LimitOwners
 from cactusridge.organisations.limit_ask import (
-    Asker,
-    LimitAsk,
+    LimitClient,
     LimitCopy,
-    LimitTold,
+    LimitRequest,
+    LimitResponse,
 )
-from cactusridge.organisations.limit_home import LimitHome
+from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
@@ -28,28 +28,28 @@
 RESPONSE_TIMEOUT_S = 0.08
 
 
-class LimitRequests(Asker):
+class LimitRequests(LimitClient):
     """Sends limit requests to owner entries and responds as an owner."""
 
     def __init__(
         self,
         peers: PeerExchange,
-        home: LimitHome,
-        homes: Homes,
+        counter: LimitCounter,
+        owners: LimitOwners,
     ) -> None:
-        """Send and receive through ``peers``; respond from ``home``."""
+        """Send and receive through ``peers``; respond from ``counter``."""
         self._peers = peers
-        self._homes = homes
-        self._home = home
+        self._owners = owners
+        self._counter = counter
         self._numbers = itertools.count()
         self._pending: dict[int, AsyncResult] = {}
         peers.on_message(REQUEST_TOPIC, self._handle_request)
         peers.on_message(RESPONSE_TOPIC, self._handle_response)
         peers.on_message(RETURNED_TOPIC, self._handle_return)
         peers.on_message(REMAINING_TOPIC, self._handle_remaining)
-        home.on_counted(self._send_remaining)
+        counter.on_counted(self._send_remaining)
 
-    def ask(self, entry: str, asked: LimitAsk) -> LimitTold | None:
+    def request(self, entry: str, asked: LimitRequest) -> LimitResponse | None:
         """Send one request to an entry and wait for its response.
 
         Returns None if the response does not arrive within RESPONSE_TIMEOUT_S.
@@ -65,7 +65,7 @@
         finally:
             self._pending.pop(number)
 
-    def has_ended(self, entry: str) -> bool:
+    def has_exited(self, entry: str) -> bool:
         """Return whether an entry's host refuses connections at its address.
 
         An entry that is unreachable in another way may still be running.
@@ -81,53 +81,53 @@
         sock.close()
         return False
 
-    def give_back(self, entry: str, name: str) -> None:
+    def return_token(self, entry: str, name: str) -> None:
         """Notify an entry that a request it counted has not run."""
         self._peers.send_to(parse_address(entry), RETURNED_TOPIC, name)
 
     def _handle_request(self, peer: Target, raw: Any) -> None:
         """Respond to a peer's request; raises ValueError or TypeError."""
         number, *asked = raw
-        outcome = self._home.answer(_decode_request(*asked))
+        outcome = self._counter.count(_decode_request(*asked))
         self._peers.send_to(peer, RESPONSE_TOPIC, [number, *outcome])
 
     def _handle_response(self, peer: Target, raw: Any) -> None:
         number, counted, wait_s = raw
         response = self._pending.get(number)
         if response is not None:
-            response.set(LimitTold(bool(counted), float(wait_s)))
+            response.set(LimitResponse(bool(counted), float(wait_s)))
 
     def _send_remaining(self, copy: LimitCopy) -> None:
         """Send the remaining tokens of an organisation to its backup owners."""
         name, limit, *more = copy
-        for entry in self._homes.ranked(name)[1:]:
+        for entry in self._owners.ranked_entries(name)[1:]:
             payload = [name, list(limit), *more]
             self._peers.send_to(parse_address(entry), REMAINING_TOPIC, payload)
 
     def _handle_remaining(self, peer: Target, raw: Any) -> None:
         """Apply an owner's remaining tokens; raises ValueError or TypeError."""
         *asked, tokens = raw
-        found = _decode_request(*asked, stand_in=False, alone=False)
+        found = _decode_request(*asked, as_backup=False, owners_exited=False)
         copy = LimitCopy(found.name, found.limit, found.version, float(tokens))
-        self._home.copied(copy)
+        self._counter.store_copy(copy)
 
     def _handle_return(self, peer: Target, raw: Any) -> None:
-        self._home.give_back(str(raw))
+        self._counter.return_token(str(raw))
 
 
 def _decode_request(
     name: Any,
     limit: Any,
     version: Any,
-    stand_in: Any,
-    alone: Any,
-) -> LimitAsk:
+    as_backup: Any,
+    owners_exited: Any,
+) -> LimitRequest:
     """Return a peer's limit request; raises ValueError or TypeError."""
     rate_per_s, burst = map(float, limit)
-    return LimitAsk(
+    return LimitRequest(
         str(name),
         RateLimit(rate_per_s, burst),
         int(version),
-        bool(stand_in),
-        bool(alone),
+        bool(as_backup),
+        bool(owners_exited),
     )
--- a/cactusridge/platform/callers.py
+++ b/cactusridge/platform/callers.py
@@ -8,7 +8,7 @@
 from cactusridge.organisations.key_check import KeyCheck
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.limiter import Limiter
-from cactusridge.organisations.permit import OPEN, KeyPermit, Permit
+from cactusridge.organisations.permit import OPEN_PERMIT, KeyPermit, Permit
 from cactusridge.platform.caller_request import CallerRequest
 from cactusridge.platform.operator import CatalogHolder
 from cactusridge.store.table_follower import TableFollower
@@ -52,14 +52,17 @@
         self._limiter = limiter
 
     def resolve(self, call: CallerRequest, route: Route) -> Caller:
-        """Return the caller; raise BadRequest, UnknownKey or KeysUnsure."""
+        """Return the caller.
+
+        Raises BadRequest, UnknownKey or KeysUnconfirmed.
+        """
         catalog = self._holder.catalog
         directory = catalog.organisations
         if directory is None:
-            return Caller('', call.headers, OPEN)
+            return Caller('', call.headers, OPEN_PERMIT)
         headers = call.headers_without_authorization()
         if route.public:
-            return Caller('', headers, OPEN)
+            return Caller('', headers, OPEN_PERMIT)
         key_holder = self._keys.holder(directory, call.authorization)
         permit = KeyPermit(
             key_holder,
@@ -74,7 +77,7 @@
         """Return the name of the caller's organisation.
 
         It is empty if no organisations are configured. Raises BadRequest,
-        UnknownKey or KeysUnsure.
+        UnknownKey or KeysUnconfirmed.
         """
         directory = self._directory()
         if directory is None:
--- a/cactusridge/platform/key_keeper.py
+++ b/cactusridge/platform/key_keeper.py
@@ -27,7 +27,7 @@
         self._holder = holder
         self._lease = lease
 
-    def confirmed(self) -> KeysConfirmed | None:
+    def confirmation(self) -> KeysConfirmed | None:
         """Return the version in force and when it was last confirmed.
 
         The result is None while the lease is not valid.
@@ -65,7 +65,7 @@
 
     def start(self) -> None:
         """Check the lease periodically, in one greenlet for each source."""
-        if self._lease.bounded:
+        if self._lease.expires:
             gevent.spawn(
                 keep_doing_every, CHECK_PERIOD_S, self.renew_from_store
             )
@@ -95,4 +95,4 @@
             answer is not None
             and answer.version == self._holder.catalog.version
         ):
-            self._lease.read(answer.at)
+            self._lease.renew(answer.confirmed_at)
--- a/cactusridge/platform/limit_parts.py
+++ b/cactusridge/platform/limit_parts.py
@@ -6,9 +6,13 @@
 from cactusridge.clock import Clock
 from cactusridge.http.client import Address
 from cactusridge.jobs.session import Session
-from cactusridge.organisations.home_limits import HomeLimits
-from cactusridge.organisations.homes import LOOK_S, Candidate, Homes
-from cactusridge.organisations.limit_home import LimitHome
+from cactusridge.organisations.home_limits import OwnerLimiter
+from cactusridge.organisations.homes import (
+    UPDATE_INTERVAL_S,
+    Candidate,
+    LimitOwners,
+)
+from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.limiter import FixedShares, Limiter, NoLimits
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.exchange import PeerExchange
@@ -31,18 +35,20 @@
         """Use the members of ``session``, reached through ``peers``."""
         self._session = session
         own_name = str(cfg.peer_address)
-        self.homes = Homes(
+        self.owners = LimitOwners(
             own_name,
             self._candidates,
             store_clock.now_ms,
             session.in_touch,
             clock,
         )
-        home = LimitHome(self.homes, clock)
-        questions = LimitRequests(peers, home, self.homes)
-        owner_limits = HomeLimits(own_name, self.homes, home, questions, clock)
+        counter = LimitCounter(self.owners, clock)
+        questions = LimitRequests(peers, counter, self.owners)
+        owner_limits = OwnerLimiter(
+            own_name, self.owners, counter, questions, clock
+        )
         limiters: dict[type[Limiter], Limiter] = {
-            HomeLimits: owner_limits,
+            OwnerLimiter: owner_limits,
             FixedShares: FixedShares(self._entry_count, clock),
             NoLimits: NoLimits(),
         }
@@ -50,8 +56,8 @@
 
     def start(self) -> None:
         """Update the owner entries periodically, even without requests."""
-        self._session.on_read(self.homes.look)
-        gevent.spawn(keep_doing_every, LOOK_S, self.homes.look)
+        self._session.on_read(self.owners.update)
+        gevent.spawn(keep_doing_every, UPDATE_INTERVAL_S, self.owners.update)
 
     def _candidates(self) -> list[Candidate]:
         """Return the live members; none until the membership list was read."""
--- a/cactusridge/platform/operator.py
+++ b/cactusridge/platform/operator.py
@@ -11,7 +11,7 @@
     RouteKind,
     ServiceShare,
 )
-from cactusridge.organisations.directory import Directory, Holder
+from cactusridge.organisations.directory import Directory, KeyOwner
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.keys import key_digest
 from cactusridge.organisations.organisation import Organisation, RateLimit
@@ -103,9 +103,9 @@
         if not self._row_readable:
             return
         if whole:
-            self._keys.read(begun_at)
+            self._keys.renew(begun_at)
         else:
-            self._keys.quiet(begun_at)
+            self._keys.renew_from_watch(begun_at)
 
     def keep_only(self, keys: set[str]) -> None:
         """Do nothing: a configuration stays in force without its row."""
@@ -160,7 +160,7 @@
     return Directory(map(_holder, holders))
 
 
-def _holder(raw: Any) -> Holder:
+def _holder(raw: Any) -> KeyOwner:
     fields = Fields(raw)
     rate_per_s = fields.number('rate_per_s', 0)
     burst = fields.number('burst', 0)
@@ -170,7 +170,7 @@
         RateLimit(rate_per_s, burst) if rate_per_s else None,
     )
     digests = map(str, fields.listed(DIGESTS_FIELD, ()))
-    return Holder(organisation, tuple(digests))
+    return KeyOwner(organisation, tuple(digests))
 
 
 def _route(raw: Any) -> Route:
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -9,9 +9,14 @@
 from typing import NamedTuple
 
 from cactusridge.clock import ManualClock
-from cactusridge.organisations.homes import LOOK_S, MS_PER_S, Candidate, Homes
+from cactusridge.organisations.homes import (
+    MS_PER_S,
+    UPDATE_INTERVAL_S,
+    Candidate,
+    LimitOwners,
+)
 from cactusridge.organisations.limit_ask import LimitCopy
-from cactusridge.organisations.limit_home import LimitHome
+from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 
@@ -62,15 +67,15 @@
         """Start the entry's process without any state in memory."""
         clock = self.fleet.clock
         self.read_rows = {}
-        self.homes = Homes(
+        self.owners = LimitOwners(
             self.name,
             self.listed,
             lambda: clock.monotonic() * MS_PER_S,
             self.is_current,
             clock,
         )
-        self.home = LimitHome(self.homes, clock)
-        self.home.on_counted(self.send_copies)
+        self.counter = LimitCounter(self.owners, clock)
+        self.counter.on_counted(self.send_copies)
         self.update_at = clock.now
         self.limiter = self.fleet.make(self)
 
@@ -92,16 +97,16 @@
         if self.alive and not self.partitioned and now >= self.read_at:
             self.step()
         if self.alive and now >= self.update_at:
-            self.homes.look()
-            self.update_at = now + LOOK_S
+            self.owners.update()
+            self.update_at = now + UPDATE_INTERVAL_S
 
     def send_copies(self, copy: LimitCopy) -> None:
         """Send the remaining tokens to the backup owners."""
-        for name in self.homes.ranked(copy.name)[1:]:
+        for name in self.owners.ranked_entries(copy.name)[1:]:
             other = self.fleet.by_name[name]
             self.fleet.messages += 1
             if self.reaches(other):
-                other.home.copied(copy)
+                other.counter.store_copy(copy)
 
     def listed(self) -> list[Candidate]:
         """Return the live entries according to this entry's reads."""
@@ -127,7 +132,7 @@
             changed = known[2] if same else now
             self.read_rows[name] = (since, renewed, changed)
         self.read_at = now + READ_S
-        self.homes.look()
+        self.owners.update()
 
 
 class Fleet:
--- a/tests/limits_limiters.py
+++ b/tests/limits_limiters.py
@@ -1,35 +1,35 @@
 """The limiters that the simulation compares with each other."""
 
-from cactusridge.organisations.home_limits import HomeLimits
-from cactusridge.organisations.limit_ask import Asker
+from cactusridge.organisations.home_limits import OwnerLimiter
+from cactusridge.organisations.limit_ask import LimitClient
 from cactusridge.organisations.limiter import FixedShares, Limiter
 from cactusridge.organisations.token_bucket import TokenBucket
 from tests.limits_fleet import Entry
 
 
-class DirectAsker(Asker):
-    """Asker that calls another entry of the same simulation directly."""
+class DirectAsker(LimitClient):
+    """LimitClient that calls another entry of the same simulation directly."""
 
     def __init__(self, entry: Entry) -> None:
         """Send requests on behalf of ``entry``."""
         self._entry = entry
         self._fleet = entry.fleet
 
-    def ask(self, entry, request):
+    def request(self, entry, request):
         """Return the response, or None if the other entry is unreachable."""
         self._fleet.messages += 2
         other = self._fleet.by_name[entry]
         if not self._entry.reaches(other):
             return None
-        return other.home.answer(request)
+        return other.counter.count(request)
 
-    def has_ended(self, entry):
+    def has_exited(self, entry):
         """Return whether the entry's host is reachable but refuses."""
         other = self._fleet.by_name[entry]
         reachable = other.partition == self._entry.partition
         return reachable and not (other.alive or other.powered_off)
 
-    def give_back(self, entry, name):
+    def return_token(self, entry, name):
         """Do nothing, since no simulated request is returned."""
 
 
@@ -56,7 +56,7 @@
         """Take a token for a request that another entry admitted."""
         self._bucket(name, limit).take(self._entry.fleet.clock.now)
 
-    def give_back(self, name):
+    def return_token(self, name):
         """Do nothing, since no simulated request is returned."""
 
     def _bucket(self, name, limit):
@@ -68,10 +68,10 @@
 
 def by_owners(entry: Entry) -> Limiter:
     """Return the limiter that sends each request to the owner."""
-    return HomeLimits(
+    return OwnerLimiter(
         entry.name,
-        entry.homes,
-        entry.home,
+        entry.owners,
+        entry.counter,
         DirectAsker(entry),
         entry.fleet.clock,
     )
--- a/tests/limits_play.py
+++ b/tests/limits_play.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cactusridge.organisations.errors import LimitUnsure
+from cactusridge.organisations.errors import LimitUnavailable
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
@@ -117,7 +117,7 @@
 def _passes(entry: Entry, number: int, limit: RateLimit) -> bool:
     try:
         return not entry.limiter.take(f'o{number}', limit, 1)
-    except LimitUnsure:
+    except LimitUnavailable:
         return False
 
 
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -6,8 +6,8 @@
 from nose2.tools import params
 
 from cactusridge.clock import ManualClock
-from cactusridge.organisations.directory import Directory, Holder
-from cactusridge.organisations.errors import KeysUnsure, UnknownKey
+from cactusridge.organisations.directory import Directory, KeyOwner
+from cactusridge.organisations.errors import KeysUnconfirmed, UnknownKey
 from cactusridge.organisations.key_check import KeyCheck
 from cactusridge.organisations.key_lease import MARGIN_S, WATCH_GAP_S, KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
@@ -21,7 +21,7 @@
 
 LEASE_DURATION_S = 5.0
 ONE = Organisation('one')
-DIRECTORY = Directory([Holder(ONE, (key_digest('k1'),))])
+DIRECTORY = Directory([KeyOwner(ONE, (key_digest('k1'),))])
 SOUND = {'version': 3, 'tenants': [{'name': 'one', 'api_keys': ['k1']}]}
 
 
@@ -35,28 +35,28 @@
 
     def test_nothing_read(self):
         """A response to a watch without an earlier read renews nothing."""
-        self.lease.quiet(50)
+        self.lease.renew_from_watch(50)
         self.assertFalse(self.lease.valid)
 
     @params((4.7, True), (4.9, False))
     def test_counts_from_the_begin(self, after_s, valid):
         """A slow read renews the lease from the time at which it started."""
         self.clock.advance(after_s)
-        self.lease.read(50)
+        self.lease.renew(50)
         self.assertEqual(valid, self.lease.valid)
 
     @params((4.7 - WATCH_GAP_S, True), (4.9 - WATCH_GAP_S, False))
     def test_quiet_watch(self, after_s, valid):
         """A response to a watch renews the lease less WATCH_GAP_S."""
-        self.lease.read(40)
-        self.lease.quiet(50)
+        self.lease.renew(40)
+        self.lease.renew_from_watch(50)
         self.clock.advance(after_s)
         self.assertEqual(valid, self.lease.valid)
 
     def test_never_younger(self):
         """A read that started earlier than the last one changes nothing."""
-        self.lease.read(50)
-        self.lease.read(45)
+        self.lease.renew(50)
+        self.lease.renew(45)
         self.clock.advance(LEASE_DURATION_S - MARGIN_S - 0.01)
         self.assertTrue(self.lease.valid)
 
@@ -64,7 +64,7 @@
         """A lease without a duration never expires after the first read."""
         lease = KeyLease(self.clock, None)
         self.assertFalse(lease.valid)
-        lease.read(50)
+        lease.renew(50)
         self.clock.advance(1e6)
         self.assertTrue(lease.valid)
 
@@ -77,7 +77,7 @@
         self.clock = ManualClock(50)
         self.behind = False
         lease = KeyLease(self.clock, LEASE_DURATION_S)
-        lease.read(50)
+        lease.renew(50)
         self.check = KeyCheck(lease, lambda: self.behind)
 
     def found(self, authorization):
@@ -96,15 +96,15 @@
             self.found(authorization)
 
     def test_maybe_new(self):
-        """An unknown key raises KeysUnsure if the catalog may be stale."""
+        """An unknown key raises KeysUnconfirmed if the catalog may be stale."""
         self.behind = True
-        with self.assertRaises(KeysUnsure):
+        with self.assertRaises(KeysUnconfirmed):
             self.found('Bearer k2')
 
     def test_lapsed(self):
-        """A known key raises KeysUnsure after the lease has expired."""
+        """A known key raises KeysUnconfirmed after the lease has expired."""
         self.clock.advance(LEASE_DURATION_S)
-        with self.assertRaises(KeysUnsure):
+        with self.assertRaises(KeysUnconfirmed):
             self.found('Bearer k1')
 
     def test_without_a_key(self):
@@ -164,7 +164,7 @@
         """Return ``found`` as the confirmation."""
         self.found = found
 
-    def confirmed(self):
+    def confirmation(self):
         """Return the fixed confirmation."""
         return self.found
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,13 +13,13 @@
     PEER_READ_MS,
     SETTLE_MS,
     Candidate,
-    Homes,
+    LimitOwners,
 )
-from cactusridge.organisations.limit_ask import LimitAsk
+from cactusridge.organisations.limit_ask import LimitRequest
 from cactusridge.organisations.limit_home import (
     BACKUP_BURST,
     BURST_TOLERANCE,
-    LimitHome,
+    LimitCounter,
 )
 from cactusridge.organisations.limiter import FixedShares, NoLimits
 from cactusridge.organisations.organisation import Organisation, RateLimit
@@ -43,7 +43,7 @@
     tuple(Loss(25 + each * 0.8, 1.2 + each % 4, 0.05) for each in range(12)),
 )
 LIMIT = RateLimit(10, 10)
-REQUEST = LimitAsk('o', LIMIT, 1)
+REQUEST = LimitRequest('o', LIMIT, 1)
 
 
 class TestPlayedLimits(unittest.TestCase):
@@ -82,10 +82,10 @@
 
     def test_against_equal_shares(self):
         """Equal shares reject most of the requests within the limits."""
-        homes = play(28, by_owners, 5)
+        owners = play(28, by_owners, 5)
         shares = play(28, by_shares, 5)
         self.assertGreater(shares.refused, 0.5 * shares.within_limit)
-        self.assertLess(homes.refused, 0.001 * homes.within_limit + 1)
+        self.assertLess(owners.refused, 0.001 * owners.within_limit + 1)
 
     def test_against_told_counts(self):
         """Counts that are broadcast afterwards do not stop a surge."""
@@ -102,23 +102,23 @@
         self.is_current = True
         self.listed = [Candidate('a:1', 0), Candidate('b:1', 0)]
 
-    def homes(self, own_name='a:1'):
+    def owners(self, own_name='a:1'):
         """Return the owners as seen by the entry ``own_name``."""
-        found = Homes(
+        found = LimitOwners(
             own_name,
             lambda: self.listed,
             lambda: self.clock.now * MS_PER_S,
             lambda: self.is_current,
             self.clock,
         )
-        found.look()
+        found.update()
         return found
 
     def held(self, own_name):
         """Return the organisations of which an entry is the owner."""
-        homes = self.homes(own_name)
+        owners = self.owners(own_name)
         names = [f'o{number}' for number in range(40)]
-        return {each for each in names if homes.owned_s(each) is not None}
+        return {each for each in names if owners.owned_s(each) is not None}
 
     def test_one_home_each(self):
         """Every organisation has exactly one owner."""
@@ -152,10 +152,10 @@
 
     def test_a_taker_starts_with_little(self):
         """A new owner does not admit a full burst once more."""
-        home = LimitHome(self.homes(), self.clock)
+        counter = LimitCounter(self.owners(), self.clock)
         name = next(iter(self.held('a:1')))
         request = REQUEST._replace(name=name)
-        passed = [not home.answer(request).wait_s for _ in range(40)]
+        passed = [not counter.count(request).wait_s for _ in range(40)]
         self.assertLess(sum(passed), BURST_TOLERANCE + LIMIT.burst / 2)
 
     def test_stand_in_goes_on(self):
@@ -164,32 +164,35 @@
         It does so once the owner's process is known to have exited, and
         also when it becomes the owner itself.
         """
-        one, two = self.homes('a:1'), self.homes('b:1')
+        one, two = self.owners('a:1'), self.owners('b:1')
         self.clock.advance(10)
-        home, other = LimitHome(one, self.clock), LimitHome(two, self.clock)
-        home.on_counted(other.copied)
+        counter, other = (
+            LimitCounter(one, self.clock),
+            LimitCounter(two, self.clock),
+        )
+        counter.on_counted(other.store_copy)
         request = REQUEST._replace(name=next(iter(self.held('a:1'))))
         for _ in range(8):
-            self.assertEqual(0, home.answer(request).wait_s)
-        backup_request = request._replace(stand_in=True)
-        passed = [not other.answer(backup_request).wait_s for _ in range(40)]
+            self.assertEqual(0, counter.count(request).wait_s)
+        backup_request = request._replace(as_backup=True)
+        passed = [not other.count(backup_request).wait_s for _ in range(40)]
         self.assertEqual(BACKUP_BURST, sum(passed))
-        backup_request = backup_request._replace(alone=True)
-        self.assertFalse(other.answer(request).counted)
-        passed = [not other.answer(backup_request).wait_s for _ in range(40)]
+        backup_request = backup_request._replace(owners_exited=True)
+        self.assertFalse(other.count(request).counted)
+        passed = [not other.count(backup_request).wait_s for _ in range(40)]
         self.assertEqual(LIMIT.burst + BURST_TOLERANCE - 8, sum(passed))
         self.listed = [Candidate('b:1', 0)]
-        two.look()
-        self.assertTrue(other.answer(request).wait_s)
+        two.update()
+        self.assertTrue(other.count(request).wait_s)
 
     def test_newer_limit(self):
         """A lower limit applies from the first request that contains it."""
-        home = LimitHome(self.homes(), self.clock)
+        counter = LimitCounter(self.owners(), self.clock)
         self.clock.advance(10)
         request = REQUEST._replace(name=next(iter(self.held('a:1'))))
-        home.answer(request)
+        counter.count(request)
         lower = request._replace(limit=RateLimit(1, 1), version=2)
-        passed = [not home.answer(lower).wait_s for _ in range(20)]
+        passed = [not counter.count(lower).wait_s for _ in range(20)]
         self.assertEqual(1 + BURST_TOLERANCE, sum(passed))
 
 
@@ -205,7 +208,7 @@
         with self.assertRaises(OverLimit) as refused:
             limiter.check(organisation, 1)
         self.assertEqual(0.5, refused.exception.retry_after_s)
-        limiter.give_back('o')
+        limiter.return_token('o')
         limiter.check(organisation, 1)
 
     def test_no_limit(self):
@@ -234,8 +237,8 @@
         self.clock = ManualClock(100)
         self.wires = Wire(), Wire()
         listed = [Candidate('127.0.0.1:9', 0)]
-        homes = [
-            Homes(
+        owners = [
+            LimitOwners(
                 own_name,
                 lambda: listed,
                 lambda: self.clock.now * MS_PER_S,
@@ -245,16 +248,16 @@
             for own_name in ('127.0.0.1:8', '127.0.0.1:9')
         ]
         questions = [
-            LimitRequests(wire, LimitHome(each, self.clock), each)
-            for wire, each in zip(self.wires, homes, strict=True)
+            LimitRequests(wire, LimitCounter(each, self.clock), each)
+            for wire, each in zip(self.wires, owners, strict=True)
         ]
-        self.asker = questions[0]
+        self.client = questions[0]
 
     def test_answer(self):
         """Each response reaches the request that it belongs to."""
         here, there = self.wires
         answers = [
-            gevent.spawn(self.asker.ask, '127.0.0.1:9', REQUEST)
+            gevent.spawn(self.client.request, '127.0.0.1:9', REQUEST)
             for _ in range(8)
         ]
         gevent.sleep(0)
@@ -270,10 +273,10 @@
         server = StreamServer(('127.0.0.1', 0), lambda sock, _: sock.close())
         server.start()
         entry = f'127.0.0.1:{server.server_port}'
-        self.assertFalse(self.asker.has_ended(entry))
+        self.assertFalse(self.client.has_exited(entry))
         server.stop()
-        self.assertTrue(self.asker.has_ended(entry))
+        self.assertTrue(self.client.has_exited(entry))
 
     def test_silence(self):
         """A request to an entry that does not respond returns None."""
-        self.assertIsNone(self.asker.ask('127.0.0.1:9', REQUEST))
+        self.assertIsNone(self.client.request('127.0.0.1:9', REQUEST))
--- a/tests/test_permit_of_keys.py
+++ b/tests/test_permit_of_keys.py
@@ -3,8 +3,12 @@
 import unittest
 
 from cactusridge.clock import ManualClock
-from cactusridge.organisations.directory import Directory, Holder
-from cactusridge.organisations.errors import KeysUnsure, OverLimit, UnknownKey
+from cactusridge.organisations.directory import Directory, KeyOwner
+from cactusridge.organisations.errors import (
+    KeysUnconfirmed,
+    OverLimit,
+    UnknownKey,
+)
 from cactusridge.organisations.key_check import KeyCheck, KeyHolder
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.limiter import FixedShares
@@ -33,8 +37,8 @@
         """Create a directory with the organisation's key."""
         self.clock = ManualClock(50)
         lease = KeyLease(self.clock, LEASE_DURATION_S)
-        lease.read(50)
-        self.directory = Directory([Holder(ONE, ('d1',))])
+        lease.renew(50)
+        self.directory = Directory([KeyOwner(ONE, ('d1',))])
         self.limiter = DelayedShares(lambda: 1, self.clock)
         self.check = KeyCheck(lease, bool)
 
@@ -61,7 +65,7 @@
         permit = self.permit()
         permit.count()
         for _ in range(3):
-            permit.give_back()
+            permit.undo_count()
         self.permit().count()
         with self.assertRaises(OverLimit):
             self.permit().count()
@@ -76,7 +80,7 @@
 
     def test_key_changes_hands(self):
         """A key reassigned to another organisation fails the old request."""
-        self.directory = Directory([Holder(Organisation('two'), ('d1',))])
+        self.directory = Directory([KeyOwner(Organisation('two'), ('d1',))])
         with self.assertRaises(UnknownKey):
             self.permit().check()
 
@@ -85,11 +89,11 @@
         permit = self.permit()
         permit.check()
         self.clock.advance(LEASE_DURATION_S)
-        with self.assertRaises(KeysUnsure):
+        with self.assertRaises(KeysUnconfirmed):
             permit.check()
 
     def test_suspended_while_it_asks(self):
         """The key lease is checked again after the limiter has responded."""
         self.limiter.delay_s = LEASE_DURATION_S
-        with self.assertRaises(KeysUnsure):
+        with self.assertRaises(KeysUnconfirmed):
             self.permit().count()
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -14,7 +14,7 @@
 from cactusridge.dispatch.returns import AfterBurst, NextSlot
 from cactusridge.jobs import policies as batch
 from cactusridge.jobs.urgency import DueFirst, OnTimeFirst
-from cactusridge.organisations.home_limits import HomeLimits
+from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.limiter import FixedShares
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.cell_rules import ByZone, OneCell
@@ -34,7 +34,7 @@
     'claims': (ToldClaims, NoClaims),
     'cells': (ByZone, OneCell),
     'quarantine': (ByCrashes, NoQuarantine),
-    'limits': (HomeLimits, FixedShares),
+    'limits': (OwnerLimiter, FixedShares),
 }
 
 
