--- a/cactusridge/jobs/heads.py
+++ b/cactusridge/jobs/heads.py
@@ -9,7 +9,7 @@
 from cactusridge.store.table_follower import TableListener
 from cactusridge.store.unreadable import UnreadableRecord
 
-TABLE = 'jobs'
+JOBS_TABLE = 'jobs'
 
 
 def parse_head(row: Row) -> JobHead:
@@ -55,7 +55,7 @@
             self._heads.pop(job_id, None)
             self._unreadable.pop(job_id, None)
             return
-        self.note(head)
+        self.update(head)
 
     def keep_only(self, keys: set[str]) -> None:
         """Remove the heads whose keys are not in ``keys``."""
@@ -64,7 +64,7 @@
                 if head_key(job_id) not in keys:
                     known.pop(job_id)
 
-    def note(self, head: JobHead) -> None:
+    def update(self, head: JobHead) -> None:
         """Store a head if it is newer than the known version of the job."""
         known = self._heads.get(head.id)
         if known is not None and known.version >= head.version:
@@ -80,6 +80,6 @@
         """Return the head of a job, or None if it is not known."""
         return self._heads.get(job_id)
 
-    def every(self) -> list[JobHead]:
+    def all_heads(self) -> list[JobHead]:
         """Return the heads of all known jobs."""
         return list(self._heads.values())
--- a/cactusridge/jobs/intake.py
+++ b/cactusridge/jobs/intake.py
@@ -23,7 +23,7 @@
 OUTAGE_RETRY_S = 1.0
 
 
-class Intake:
+class JobAdmission:
     """Rejects jobs without a call to the store while it is unreachable."""
 
     def __init__(self, store_lost: Callable[[], bool], clock: Clock) -> None:
@@ -32,7 +32,7 @@
         self._clock = clock
         self._peer_report_at: float | None = None
 
-    def heard(self, has_store: bool) -> None:
+    def record_peer_report(self, has_store: bool) -> None:
         """Record a peer's report on whether it reaches the store."""
         if has_store:
             self._peer_report_at = self._clock.monotonic()
@@ -41,7 +41,7 @@
         """Raise StoreUnavailable if this entry cannot reach the store."""
         if not self._store_lost():
             return
-        elsewhere = self.better_elsewhere()
+        elsewhere = self.should_redirect_callers()
         retry_s = PEER_RETRY_S if elsewhere else OUTAGE_RETRY_S
         logs.emit(
             events.JOB_REFUSED,
@@ -54,7 +54,7 @@
             'the store is unreachable', retry_after_s=retry_s
         )
 
-    def better_elsewhere(self) -> bool:
+    def should_redirect_callers(self) -> bool:
         """Return whether a peer reaches the store and this entry does not.
 
         If so, new callers should be sent to another entry: if a third of
--- a/cactusridge/jobs/janitor.py
+++ b/cactusridge/jobs/janitor.py
@@ -9,7 +9,7 @@
 from cactusridge.store.store_clock import MS, StoreClock
 
 # Interval in seconds at which an entry checks for jobs to remove.
-LOOK_S = 10.0
+REMOVAL_POLL_S = 10.0
 # Time in seconds for which jobs are kept beyond the promised retention, which
 # counts from the submission by the caller's clock.
 RETENTION_MARGIN_S = 60.0
@@ -36,10 +36,12 @@
         self._store_clock = store_clock
         self._keep_s = keep_s + RETENTION_MARGIN_S
 
-    def look(self) -> None:
+    def remove_expired(self) -> None:
         """Remove a limited number of expired jobs."""
         expired = [
-            head for head in self._heads.every() if self._should_remove(head)
+            head
+            for head in self._heads.all_heads()
+            if self._should_remove(head)
         ]
         for head in expired[:MAX_REMOVED_PER_CHECK]:
             self._remove(head)
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -14,12 +14,12 @@
 from cactusridge.jobs.model import JobHead, JobItem, JobState
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.jobs.scheduler import BatchScheduler
-from cactusridge.jobs.session import Session
+from cactusridge.jobs.session import Membership
 from cactusridge.peers.exchange import ignore_announcement
 from cactusridge.work_meter import Part, spawn
 
 # Interval in seconds at which an entry polls for orphaned jobs.
-LOOK_S = 0.25
+ORPHAN_POLL_S = 0.25
 
 
 class JobManager:
@@ -29,15 +29,15 @@
         self,
         ledger: JobLedger,
         heads: JobHeads,
-        session: Session,
+        session: Membership,
         scheduler: BatchScheduler,
         orphans: Orphans,
         clock: Clock,
-        peers_heard: Callable[[], bool],
+        has_live_peers: Callable[[], bool],
     ) -> None:
         """Run held jobs with ``scheduler``.
 
-        ``session`` renews the lease of this entry. ``peers_heard`` returns
+        ``session`` renews the lease of this entry. ``has_live_peers`` returns
         whether this entry currently receives messages from any peer.
         """
         self.ledger = ledger
@@ -46,13 +46,13 @@
         self._clock = clock
         self._orphans = orphans
         self._announce: Callable[[str, int], None] = ignore_announcement
-        self._peers_heard = peers_heard
+        self._has_live_peers = has_live_peers
         self._heads = heads
         heads.on_change(self.head_changed)
         self._starting: set[str] = set()
         self._stopping = False
 
-    def tell_through(self, announce: Callable[[str, int], None]) -> None:
+    def announce_with(self, announce: Callable[[str, int], None]) -> None:
         """Announce heads to peers with ``announce(job_id, version)``."""
         self._announce = announce
 
@@ -65,7 +65,7 @@
         if head.state == JobState.ended or not self._orphans.is_mine(head):
             self._drop(held)
 
-    def told(self, job_id: str, version: int) -> None:
+    def on_announcement(self, job_id: str, version: int) -> None:
         """Check a held job after a peer has announced a newer head of it.
 
         The store's feed delivers the same change unless this entry cannot
@@ -79,7 +79,7 @@
         """Return the job if this entry runs it, else None."""
         return self._scheduler.jobs.get(job_id)
 
-    def held_here(self, head: JobHead) -> JobHead:
+    def with_this_holder(self, head: JobHead) -> JobHead:
         """Return ``head`` with this entry as holder.
 
         An entry that is stopping leaves the holder as it is.
@@ -102,7 +102,7 @@
             items=len(items),
             holder=stored.holder,
         )
-        self._heads.note(stored)
+        self._heads.update(stored)
         runs_here = stored.state == JobState.open and self._orphans.is_mine(
             stored
         )
@@ -116,9 +116,9 @@
         ended = self.ledger.end(job_id)
         self._announce(ended.id, ended.version)
         logs.emit(events.JOB_CANCELLED, job=job_id, version=ended.version)
-        self._heads.note(ended)
+        self._heads.update(ended)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Update whether items may start, and take over orphaned jobs."""
         if self._stopping:
             return
@@ -126,9 +126,9 @@
             self._scheduler.may_dispatch.set()
         else:
             self._scheduler.may_dispatch.clear()
-        if not self._session.may_dispatch():
+        if not self._session.lease_is_valid():
             return
-        for head in self._heads.every():
+        for head in self._heads.all_heads():
             busy = head.id in self._starting or self.held(head.id) is not None
             if not busy and self._orphans.should_take_over(head):
                 self._starting.add(head.id)
@@ -150,7 +150,7 @@
         items may start while peers are reachable. Without such an
         announcement the store is most likely unreachable for all entries.
         """
-        return self._session.may_dispatch() or self._peers_heard()
+        return self._session.lease_is_valid() or self._has_live_peers()
 
     def _take_over(self, head: JobHead) -> None:
         """Take over an orphaned job and run it."""
@@ -173,7 +173,7 @@
             previous=head.holder,
             version=taken.version,
         )
-        self._heads.note(taken)
+        self._heads.update(taken)
         self._run(taken, items)
 
     def _check_holder(self, held: HeldJob, version: int) -> None:
@@ -190,7 +190,7 @@
     def _refresh(self, job_id: str) -> None:
         """Read a job's head from the store, since the feed may lag behind."""
         try:
-            self._heads.note(self.ledger.head(job_id))
+            self._heads.update(self.ledger.head(job_id))
         except CactusridgeError as exc:
             logs.emit(events.TAKE_FAILED, job=job_id, error=str(exc))
 
@@ -230,7 +230,7 @@
 
     def _close(self, held: HeldJob) -> None:
         try:
-            self._heads.note(self.ledger.close(held.head))
+            self._heads.update(self.ledger.close(held.head))
         except HoldLost:
             self._refresh(held.head.id)
         except CactusridgeError as exc:
--- a/cactusridge/jobs/orphans.py
+++ b/cactusridge/jobs/orphans.py
@@ -5,7 +5,7 @@
 from cactusridge.errors import CactusridgeError
 from cactusridge.hashing import hash64, rendezvous
 from cactusridge.jobs.model import JobHead, JobState
-from cactusridge.jobs.session import Session
+from cactusridge.jobs.session import Membership
 from cactusridge.store.unreadable import UnreadableRecord
 
 # Delay in seconds per rank before an entry takes over an orphaned job: the
@@ -21,7 +21,7 @@
 class Orphans:
     """Decides when this entry takes over an orphaned job."""
 
-    def __init__(self, session: Session, clock: Clock) -> None:
+    def __init__(self, session: Membership, clock: Clock) -> None:
         """Read the live entries from ``session``."""
         self._session = session
         self._clock = clock
@@ -69,4 +69,4 @@
     def _is_orphan(self, head: JobHead) -> bool:
         if self.is_mine(head) or not head.holder:
             return True
-        return not self._session.lives(head.holder, head.life)
+        return not self._session.is_live(head.holder, head.life)
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -19,7 +19,7 @@
 from cactusridge.jobs.look_pacer import PassPacer
 from cactusridge.jobs.model import ItemState
 from cactusridge.jobs.running import RunningItem
-from cactusridge.jobs.waiting_line import WaitingItem, WaitingLine
+from cactusridge.jobs.waiting_line import ItemQueue, WaitingItem
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
@@ -34,7 +34,7 @@
         fleet: FleetView,
         runner: Runner,
         clock: Clock,
-        queue: WaitingLine,
+        queue: ItemQueue,
         sharing: BatchSharing,
         claims: ClaimRule,
     ) -> None:
@@ -80,7 +80,7 @@
         if self.may_dispatch.is_set():
             self.start_items()
 
-    def loads_changed(self) -> None:
+    def on_loads_changed(self) -> None:
         """Wake the scheduler after a change of the counts if it has items."""
         if self._busy():
             self.wake.set()
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/session.py
@@ -9,19 +9,19 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError, StoreUnavailable
-from cactusridge.jobs.tenure import Tenure
+from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.store.fields import Fields
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
 from cactusridge.store.unreadable import UnreadableField, UnreadableRecord
 
-PREFIX = 'members//'
+MEMBER_PREFIX = 'members//'
 # Interval in seconds between renewals, each followed by a read: two calls per
 # second and entry to a store that handles some thousands per second.
-RENEW_S = 1.0
+RENEW_INTERVAL_S = 1.0
 # Lease in seconds: an entry whose row has not changed for this long counts as
 # dead. The lease covers two lost renewals and the time to read a third one.
-LEASE_S = 3.2
+MEMBER_LEASE_S = 3.2
 # Safety margin in seconds: an entry stops relying on its lease this long before
 # other entries may take over its jobs.
 LEASE_MARGIN_S = 0.7
@@ -58,7 +58,7 @@
     seen_at: float
 
 
-class Session:
+class Membership:
     """Renews this entry's lease and tracks the leases of the others."""
 
     def __init__(
@@ -68,7 +68,7 @@
         name: str,
         address: tuple[str, int],
         zone: str,
-        tenure: Tenure,
+        membership_start: MembershipStart,
     ) -> None:
         """Prepare the membership of the entry ``name``, not yet stored.
 
@@ -76,7 +76,7 @@
         """
         self.me = Member(name, secrets.token_hex(8), *address, zone)
         self.renewed_at: float | None = None
-        self._tenure = tenure
+        self._membership_start = membership_start
         self._table = table
         self._clock = clock
         self._records: dict[str, MemberRecord] = {}
@@ -96,7 +96,7 @@
         """
         self._on_read = listener
 
-    def step(self) -> None:
+    def renew_and_read(self) -> None:
         """Renew the lease and read the members once.
 
         Failures of the store are logged and not raised.
@@ -115,7 +115,7 @@
             self._read_at = None
             logs.emit(events.RENEWAL_FAILED, error=str(read_error))
 
-    def may_dispatch(self) -> bool:
+    def lease_is_valid(self) -> bool:
         """Return whether no other entry can have taken over this one's jobs.
 
         That holds until this entry's lease, less a margin, has expired.
@@ -123,9 +123,9 @@
         if self.renewed_at is None:
             return False
         lease_age_s = self._clock.monotonic() - self.renewed_at
-        return lease_age_s < LEASE_S - LEASE_MARGIN_S
+        return lease_age_s < MEMBER_LEASE_S - LEASE_MARGIN_S
 
-    def in_touch(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether both the last read and the last renewal are recent.
 
         All entries for which this holds know the same members, except for
@@ -134,10 +134,13 @@
         if self._read_at is None:
             return False
         read_age_s = self._clock.monotonic() - self._read_at
-        return read_age_s < LEASE_S - LEASE_MARGIN_S and self.may_dispatch()
+        return (
+            read_age_s < MEMBER_LEASE_S - LEASE_MARGIN_S
+            and self.lease_is_valid()
+        )
 
     @property
-    def listed(self) -> bool:
+    def has_joined(self) -> bool:
         """Whether the members have been read and this entry is one of them."""
         return bool(self._records) and self.renewed_at is not None
 
@@ -156,7 +159,7 @@
         ]
         return [self.me, *others]
 
-    def lives(self, name: str, life: str) -> bool:
+    def is_live(self, name: str, life: str) -> bool:
         """Return whether the holder of a job may still be running.
 
         ``name`` is the entry that holds the job and ``life`` its
@@ -180,7 +183,7 @@
         Raises StoreUnavailable, WriteUnknown.
         """
         self._has_left = True
-        write = Write(f'{PREFIX}{self.me.name}', None)
+        write = Write(f'{MEMBER_PREFIX}{self.me.name}', None)
         with self._write_lock:
             self._table.transact([], [write], Priority.lease)
 
@@ -191,32 +194,32 @@
         """
         if self._read_at is None:
             return False
-        return self._clock.monotonic() - record.seen_at >= LEASE_S
+        return self._clock.monotonic() - record.seen_at >= MEMBER_LEASE_S
 
     def _renew(self) -> None:
-        key = f'{PREFIX}{self.me.name}'
+        key = f'{MEMBER_PREFIX}{self.me.name}'
         with self._write_lock:
             if self._has_left:
                 return
-            since_ms = self._tenure.since_ms(self._table, key)
+            since_ms = self._membership_start.since_ms(self._table, key)
             self.me = self.me._replace(since_ms=since_ms)
             heartbeat = {
                 'beat': secrets.token_hex(4),
-                **self._tenure.renewal_field(),
+                **self._membership_start.renewal_field(),
             }
             write = Write(key, {**self.me._asdict(), **heartbeat})
             sent_at = self._clock.monotonic()
             self._table.transact([], [write], Priority.lease)
         self.renewed_at = sent_at
-        self._tenure.confirm_renewal()
+        self._membership_start.confirm_renewal()
 
     def _read(self) -> None:
-        rows = self._table.scan(PREFIX, Priority.lease)
+        rows = self._table.scan(MEMBER_PREFIX, Priority.lease)
         now = self._clock.monotonic()
         restart = self._read_at is None
         known = set(self._records)
         self._records = {
-            row.key.removeprefix(PREFIX): self._updated_record(
+            row.key.removeprefix(MEMBER_PREFIX): self._updated_record(
                 row, now, restart
             )
             for row in rows
@@ -233,7 +236,7 @@
     def _updated_record(
         self, row: Row, now: float, restart: bool
     ) -> MemberRecord:
-        known = self._records.get(row.key.removeprefix(PREFIX))
+        known = self._records.get(row.key.removeprefix(MEMBER_PREFIX))
         if known and not restart and known.version == row.version:
             return known
         try:
@@ -270,14 +273,14 @@
         fields.text('zone'),
         fields.whole('since_ms', 0),
     )
-    if member.name != row.key.removeprefix(PREFIX):
+    if member.name != row.key.removeprefix(MEMBER_PREFIX):
         raise UnreadableField(f'the row names the entry {member.name}')
     if not 0 < member.port <= MAX_PORT:
         raise UnreadableField(f'port {member.port} is out of range')
     return member
 
 
-def ignore_store_errors(action: Any) -> None:
+def log_errors(action: Any) -> None:
     """Call ``action``; log a CactusridgeError instead of raising it."""
     try:
         action()
--- a/cactusridge/jobs/tenure.py
+++ b/cactusridge/jobs/tenure.py
@@ -25,7 +25,7 @@
 _NO_TIMES = _RowTimes(0, 0)
 
 
-class Tenure:
+class MembershipStart:
     """Tracks since when an entry has renewed its row without interruption.
 
     A process that restarts before the lease has expired continues the
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -32,7 +32,7 @@
     route: Route
 
 
-class WaitingLine:
+class ItemQueue:
     """Orders the pending items of held jobs and gives up expired items."""
 
     def __init__(
--- a/cactusridge/platform/job_calls.py
+++ b/cactusridge/platform/job_calls.py
@@ -13,7 +13,7 @@
 from cactusridge.errors import BadRequest, Conflict, NotFound, OutcomeUnknown
 from cactusridge.http.exchange import Reply, json_reply
 from cactusridge.jobs.heads import JobHeads
-from cactusridge.jobs.intake import Intake
+from cactusridge.jobs.intake import JobAdmission
 from cactusridge.jobs.manager import JobManager
 from cactusridge.jobs.model import (
     ItemState,
@@ -57,7 +57,7 @@
         manager: JobManager,
         heads: JobHeads,
         store_clock: StoreClock,
-        intake: Intake,
+        intake: JobAdmission,
     ) -> None:
         """Run new jobs with ``manager`` if ``intake`` admits them."""
         self._manager = manager
@@ -122,7 +122,7 @@
         unknown = OutcomeUnknown('the store did not confirm the job in time')
         with gevent.Timeout(ACCEPT_TIMEOUT_S, unknown):
             stored = self._manager.accept(
-                self._manager.held_here(head),
+                self._manager.with_this_holder(head),
                 items,
             )
         if stored.organisation != organisation:
@@ -134,7 +134,7 @@
         head = self._heads.get(job_id)
         if head is None:
             head = self._manager.ledger.head(job_id)
-            self._heads.note(head)
+            self._heads.update(head)
         return head
 
     def _read(self, job_id: str, call: CallerRequest) -> Reply:
--- a/cactusridge/platform/job_parts.py
+++ b/cactusridge/platform/job_parts.py
@@ -10,17 +10,16 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.http.client import Address
 from cactusridge.jobs.heads import JobHeads
-from cactusridge.jobs.intake import Intake
-from cactusridge.jobs.janitor import LOOK_S as JANITOR_S
-from cactusridge.jobs.janitor import Janitor
+from cactusridge.jobs.intake import JobAdmission
+from cactusridge.jobs.janitor import REMOVAL_POLL_S, Janitor
 from cactusridge.jobs.ledger import JobLedger
-from cactusridge.jobs.manager import LOOK_S, JobManager
+from cactusridge.jobs.manager import ORPHAN_POLL_S, JobManager
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.jobs.policies import make_policies
 from cactusridge.jobs.scheduler import BatchScheduler
-from cactusridge.jobs.session import RENEW_S, Session, ignore_store_errors
-from cactusridge.jobs.tenure import Tenure
-from cactusridge.jobs.waiting_line import WaitingLine
+from cactusridge.jobs.session import RENEW_INTERVAL_S, Membership, log_errors
+from cactusridge.jobs.tenure import MembershipStart
+from cactusridge.jobs.waiting_line import ItemQueue
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.cell_rules import EntryPlace
 from cactusridge.peers.cells import Cells
@@ -33,7 +32,7 @@
 
 
 class JobParts:
-    """Session, ledger, scheduler, manager and janitor of one entry."""
+    """Membership, ledger, scheduler, manager and janitor of one entry."""
 
     def __init__(
         self,
@@ -47,13 +46,13 @@
         """Create the parts on ``store`` without starting them."""
         address = cfg.peer_address
         self.heads = JobHeads()
-        self.session = Session(
+        self.session = Membership(
             store.rows,
             clock,
             cfg.name,
             address,
             cfg.zone,
-            Tenure(store.clock),
+            MembershipStart(store.clock),
         )
         self.cells = Cells(
             str(address),
@@ -68,7 +67,7 @@
             fleet,
             runner,
             clock,
-            WaitingLine(
+            ItemQueue(
                 clock,
                 store.clock,
                 holder.current,
@@ -78,7 +77,7 @@
             self.sharing,
             policies.claims,
         )
-        runner.loads.on_change(self.scheduler.loads_changed)
+        runner.loads.on_change(self.scheduler.on_loads_changed)
         ledger = JobLedger(store.rows, store.objects, clock)
         orphans = Orphans(self.session, clock)
         self.manager = JobManager(
@@ -97,7 +96,7 @@
             store.clock,
             cfg.keep_jobs_s,
         )
-        self.intake = Intake(lambda: store.lost, clock)
+        self.intake = JobAdmission(lambda: store.lost, clock)
         self.calls = JobCalls(
             self.manager,
             self.heads,
@@ -107,9 +106,9 @@
 
     def connect_peers(self, peers: PeerExchange) -> None:
         """Exchange job changes with ``peers`` and receive their loads."""
-        peers.on_loads(self.scheduler.loads_changed)
-        peers.on_announcement(self.manager.told)
-        self.manager.tell_through(peers.announce)
+        peers.on_loads(self.scheduler.on_loads_changed)
+        peers.on_announcement(self.manager.on_announcement)
+        self.manager.announce_with(peers.announce)
 
     def start(self) -> None:
         """Start the greenlets of the parts."""
@@ -119,13 +118,18 @@
         spawn(
             Part.session,
             keep_doing_every,
-            RENEW_S,
-            self.session.step,
+            RENEW_INTERVAL_S,
+            self.session.renew_and_read,
             at_once=True,
         )
-        spawn(Part.jobs, keep_doing_every, LOOK_S, self.manager.look)
+        spawn(Part.jobs, keep_doing_every, ORPHAN_POLL_S, self.manager.poll)
         spawn(Part.scheduler, keep_doing, self.scheduler.step)
-        spawn(Part.jobs, keep_doing_every, JANITOR_S, self._janitor.look)
+        spawn(
+            Part.jobs,
+            keep_doing_every,
+            REMOVAL_POLL_S,
+            self._janitor.remove_expired,
+        )
 
     def finish(self, bound_s: float) -> None:
         """Hand over the jobs, then leave the membership list.
@@ -139,7 +143,7 @@
                 self.manager.stop()
         except gevent.Timeout:
             logs.emit(events.HAND_OVER_CUT, bound_s=bound_s)
-        ignore_store_errors(self.session.leave)
+        log_errors(self.session.leave)
 
     def _entries(self) -> tuple[EntryPlace, ...]:
         """Return the addresses and zones of the live entries, sorted."""
--- a/cactusridge/platform/limit_parts.py
+++ b/cactusridge/platform/limit_parts.py
@@ -5,7 +5,7 @@
 from cactusridge.background import keep_doing_every
 from cactusridge.clock import Clock
 from cactusridge.http.client import Address
-from cactusridge.jobs.session import Session
+from cactusridge.jobs.session import Membership
 from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.homes import (
     UPDATE_INTERVAL_S,
@@ -27,7 +27,7 @@
     def __init__(
         self,
         cfg: DirectEntrySettings,
-        session: Session,
+        session: Membership,
         store_clock: StoreClock,
         peers: PeerExchange,
         clock: Clock,
@@ -39,7 +39,7 @@
             own_name,
             self._candidates,
             store_clock.now_ms,
-            session.in_touch,
+            session.is_current,
             clock,
         )
         counter = LimitCounter(self.owners, clock)
@@ -61,7 +61,7 @@
 
     def _candidates(self) -> list[Candidate]:
         """Return the live members; none until the membership list was read."""
-        if not self._session.listed:
+        if not self._session.has_joined:
             return []
         return [
             Candidate(str(Address(each.host, each.port)), each.since_ms)
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -32,7 +32,7 @@
 from cactusridge.platform.limit_parts import LimitParts
 from cactusridge.platform.store_access import StoreAccess
 from cactusridge.platform.strike_parts import (
-    TABLE,
+    JOBS_TABLE,
     StrikeParts,
     followed_prefixes,
 )
@@ -156,7 +156,7 @@
                 self._discovery,
             ),
             self._store.follower(
-                TABLE,
+                JOBS_TABLE,
                 followed_prefixes(),
                 self._strikes.combined_listener(self._jobs.heads),
             ),
@@ -201,7 +201,7 @@
 
     def _receive_status(self, peer: Target, word: EntryStatus) -> None:
         self._catalogs.heard(peer, word.version)
-        self._jobs.intake.heard(word.has_store)
+        self._jobs.intake.record_peer_report(word.has_store)
         if word.has_store:
             now = self._clock.monotonic()
             self._discovery.shorten_grace(now - word.store_uptime_s)
@@ -224,7 +224,7 @@
     def _readiness(self, req: Req) -> Reply:
         if not self._holder.known or self._draining:
             raise NotReady
-        elsewhere = self._jobs.intake.better_elsewhere()
+        elsewhere = self._jobs.intake.should_redirect_callers()
         if elsewhere != self._callers_elsewhere:
             self._callers_elsewhere = elsewhere
             logs.emit(events.CALLERS_ELSEWHERE, elsewhere=elsewhere)
--- a/cactusridge/platform/strike_parts.py
+++ b/cactusridge/platform/strike_parts.py
@@ -1,7 +1,7 @@
 """The parts of an entry that quarantine requests which crash replicas."""
 
 from cactusridge.clock import Clock
-from cactusridge.jobs.heads import TABLE
+from cactusridge.jobs.heads import JOBS_TABLE
 from cactusridge.jobs.keys import head_prefixes
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_strikes import PeerStrikes
@@ -18,7 +18,7 @@
 # another request crashed it never get a second one.
 MIN_STORED_STRIKES = 2
 # Strikes are stored in the table of the jobs because every entry follows it.
-STRIKES_PREFIX = f'{TABLE}/strikes/'
+STRIKES_PREFIX = f'{JOBS_TABLE}/strikes/'
 
 
 def followed_prefixes() -> list[str]:
@@ -48,7 +48,7 @@
     def combined_listener(self, heads: TableListener) -> TableListener:
         """Return a listener for strikes that passes job heads to ``heads``."""
         return ListenersByPrefix(
-            {STRIKES_PREFIX: self.store, f'{TABLE}/': heads}
+            {STRIKES_PREFIX: self.store, f'{JOBS_TABLE}/': heads}
         )
 
     def connect_peers(self, peers: PeerExchange) -> None:
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -10,7 +10,7 @@
     OUTAGE_RETRY_S,
     PEER_REPORT_VALID_S,
     PEER_RETRY_S,
-    Intake,
+    JobAdmission,
 )
 
 
@@ -21,7 +21,7 @@
         """Start with an unreachable store and no report of a peer."""
         self.lost = True
         self.clock = ManualClock()
-        self.intake = Intake(lambda: self.lost, self.clock)
+        self.intake = JobAdmission(lambda: self.lost, self.clock)
 
     def test_open_while_the_store_answers(self):
         """No job is rejected while the store responds."""
@@ -43,9 +43,9 @@
         During an outage for all entries they stay.
         """
         self.lost = lost
-        self.intake.heard(has_store)
+        self.intake.record_peer_report(has_store)
         self.clock.advance(age_s)
-        self.assertEqual(elsewhere, self.intake.better_elsewhere())
+        self.assertEqual(elsewhere, self.intake.should_redirect_callers())
 
     @params(
         # Whether a peer reports that it reaches the store, the age of the
@@ -56,7 +56,7 @@
     )
     def test_refused_at_once(self, has_store, age_s, retry_s):
         """Retry-After is short only if another entry can accept the job."""
-        self.intake.heard(has_store)
+        self.intake.record_peer_report(has_store)
         self.clock.advance(age_s)
         with self.assertRaises(StoreUnavailable) as caught:
             self.intake.check('job')
--- a/tests/test_machine_links.py
+++ b/tests/test_machine_links.py
@@ -7,7 +7,7 @@
 from nose2.tools import params
 
 from cactusridge import wire
-from cactusridge.jobs.session import LEASE_S
+from cactusridge.jobs.session import MEMBER_LEASE_S
 from standins.waiting import wait_for
 from tests.machine_case import MachineCase
 from tests.test_machine_failures import sent
@@ -136,7 +136,7 @@
         self.assertEqual(200, ended[0])
         wait_for('all items stop', lambda: not self.running(), 3)
         started = self.started()
-        gevent.sleep(LEASE_S)
+        gevent.sleep(MEMBER_LEASE_S)
         self.assertEqual(started, self.started())
 
     def running(self):
@@ -210,7 +210,7 @@
         wait_for(
             'another entry resumes the job',
             lambda: self.partials() != before,
-            LEASE_S * 3,
+            MEMBER_LEASE_S * 3,
         )
         holder = self.holder()
         self.site.entries[holder].kill()
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -5,8 +5,8 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.jobs.session import LEASE_S, Session
-from cactusridge.jobs.tenure import Tenure
+from cactusridge.jobs.session import MEMBER_LEASE_S, Membership
+from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.store.store_clock import StoreClock
 from standins.memory_table import MemoryTable
 
@@ -21,13 +21,15 @@
         self.one = self.session('one')
         other = self.session('two')
         for each in (self.one, other, self.one):
-            each.step()
+            each.renew_and_read()
 
     def session(self, name):
         """Return the session of the entry ``name``."""
         address = ('127.0.0.1', 1)
-        tenure = Tenure(StoreClock(self.clock))
-        return Session(self.table, self.clock, name, address, 'z', tenure)
+        membership_start = MembershipStart(StoreClock(self.clock))
+        return Membership(
+            self.table, self.clock, name, address, 'z', membership_start
+        )
 
     def names(self):
         """Return the names of the live members known to the first entry."""
@@ -35,15 +37,15 @@
 
     def test_unread_rows_end_nobody(self):
         """An entry that cannot read the rows keeps the members it knows."""
-        self.clock.advance(LEASE_S * 2)
+        self.clock.advance(MEMBER_LEASE_S * 2)
         self.table.fail_reads = 1
-        self.one.step()
+        self.one.renew_and_read()
         self.assertEqual(['one', 'two'], self.names())
 
     def test_silent_entry_ends(self):
         """An entry whose readable row is not renewed stops being a member."""
-        self.clock.advance(LEASE_S * 2)
-        self.one.step()
+        self.clock.advance(MEMBER_LEASE_S * 2)
+        self.one.renew_and_read()
         self.assertEqual(['one'], self.names())
 
     def test_woken(self):
@@ -51,36 +53,36 @@
 
         The listener of the read already sees it in touch.
         """
-        self.one.step()
-        self.assertTrue(self.one.in_touch())
-        self.clock.advance(LEASE_S * 2)
-        self.assertFalse(self.one.in_touch())
+        self.one.renew_and_read()
+        self.assertTrue(self.one.is_current())
+        self.clock.advance(MEMBER_LEASE_S * 2)
+        self.assertFalse(self.one.is_current())
         told = []
-        self.one.on_read(lambda: told.append(self.one.in_touch()))
-        self.one.step()
+        self.one.on_read(lambda: told.append(self.one.is_current()))
+        self.one.renew_and_read()
         self.assertEqual([True], told)
-        self.assertTrue(self.one.in_touch())
+        self.assertTrue(self.one.is_current())
 
     def test_rows_that_cannot_be_read(self):
         """An entry that renews its row but cannot read is not in touch."""
-        self.clock.advance(LEASE_S)
+        self.clock.advance(MEMBER_LEASE_S)
         self.table.fail_reads = 1
-        self.one.step()
-        self.assertFalse(self.one.in_touch())
+        self.one.renew_and_read()
+        self.assertFalse(self.one.is_current())
 
     def test_since_the_row_is_back(self):
         """After an outage the membership starts at the first renewal stored."""
-        self.clock.advance(LEASE_S * 2)
+        self.clock.advance(MEMBER_LEASE_S * 2)
         with mock.patch.object(
             self.table,
             'transact',
             side_effect=StoreUnavailable,
         ):
             for _ in range(3):
-                self.one.step()
+                self.one.renew_and_read()
                 self.clock.advance(1)
-        self.one.step()
+        self.one.renew_and_read()
         self.assertEqual(self.clock.now * 1000, self.one.me.since_ms)
         self.clock.advance(1)
-        self.one.step()
+        self.one.renew_and_read()
         self.assertEqual((self.clock.now - 1) * 1000, self.one.me.since_ms)
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -58,16 +58,16 @@
                 for row in rows:
                     heads.put(row)
         self.assertEqual([events.ROW_UNREADABLE], found)
-        self.assertEqual([OTHER], [head.id for head in heads.every()])
+        self.assertEqual([OTHER], [head.id for head in heads.all_heads()])
         self.assertIsNone(heads.get(JOB))
 
     def test_spoilt_later(self):
         """A head older than the unreadable version is ignored."""
         heads = JobHeads()
-        heads.note(self.head)
+        heads.update(self.head)
         key = head_key(JOB)
         heads.put(Row(key, None, self.head.version + 3, unreadable=True))
-        heads.note(self.head)
+        heads.update(self.head)
         self.assertIsNone(heads.get(JOB))
         mended = self.head._replace(version=self.head.version + 4)
         heads.put(Row(key, head_value(mended), mended.version))
@@ -77,7 +77,7 @@
     def test_foreign_key(self, key):
         """A row with a foreign key neither replaces nor removes a head."""
         heads = JobHeads()
-        heads.note(self.head)
+        heads.update(self.head)
         with emitted() as found:
             heads.put(Row(key, head_value(HEAD), 99))
             heads.put(Row(key, None, 100))
--- a/tests/test_spoilt_members.py
+++ b/tests/test_spoilt_members.py
@@ -14,8 +14,8 @@
 from cactusridge.jobs.manager import JobManager
 from cactusridge.jobs.model import JobHead, JobItem
 from cactusridge.jobs.orphans import UNREADABLE_PAUSE_S, Orphans
-from cactusridge.jobs.session import LEASE_S, PREFIX, Session
-from cactusridge.jobs.tenure import Tenure
+from cactusridge.jobs.session import MEMBER_LEASE_S, MEMBER_PREFIX, Membership
+from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.store.store_clock import StoreClock
 from cactusridge.store.table import Priority
 from tests.emitted import emitted
@@ -41,13 +41,15 @@
         self.two = self.session('two')
         self.three = self.session('three')
         for each in (self.two, self.three, self.one):
-            each.step()
+            each.renew_and_read()
 
     def session(self, name):
         """Return the session of the entry ``name``."""
         address = ('127.0.0.1', 1)
-        tenure = Tenure(StoreClock(self.clock))
-        return Session(self.table, self.clock, name, address, 'z', tenure)
+        membership_start = MembershipStart(StoreClock(self.clock))
+        return Membership(
+            self.table, self.clock, name, address, 'z', membership_start
+        )
 
     def names(self):
         """Return the names of the live members known to the first entry."""
@@ -63,45 +65,45 @@
         life = self.two.me.life
         with emitted() as found:
             for _ in range(3):
-                self.table.spoil(f'{PREFIX}two', value)
+                self.table.spoil(f'{MEMBER_PREFIX}two', value)
                 self.clock.advance(1)
-                self.three.step()
-                self.one.step()
+                self.three.renew_and_read()
+                self.one.renew_and_read()
                 self.assertEqual({'one', 'two', 'three'}, set(self.names()))
-                self.assertTrue(self.one.lives('two', life))
-            self.clock.advance(LEASE_S - 3)
-            self.three.step()
-            self.one.step()
+                self.assertTrue(self.one.is_live('two', life))
+            self.clock.advance(MEMBER_LEASE_S - 3)
+            self.three.renew_and_read()
+            self.one.renew_and_read()
         self.assertEqual({'one', 'three'}, set(self.names()))
-        self.assertFalse(self.one.lives('two', life))
+        self.assertFalse(self.one.is_live('two', life))
         # Two entries each read three unreadable versions of the row.
         self.assertEqual(6, found.count(events.ROW_UNREADABLE))
 
     @params(*spoilings(MEMBER), *OUT_OF_RANGE)
     def test_first_reading(self, name, value):
         """The owner of a row unreadable from the start is live for a lease."""
-        self.table.spoil(f'{PREFIX}two', value)
+        self.table.spoil(f'{MEMBER_PREFIX}two', value)
         fresh = self.session('four')
-        fresh.step()
+        fresh.renew_and_read()
         names = {member.name for member in fresh.members()}
         self.assertEqual({'one', 'three', 'four'}, names)
-        self.assertTrue(fresh.lives('two', 'any'))
-        self.clock.advance(LEASE_S)
+        self.assertTrue(fresh.is_live('two', 'any'))
+        self.clock.advance(MEMBER_LEASE_S)
         with emitted() as found:
-            fresh.step()
-        self.assertFalse(fresh.lives('two', 'any'))
+            fresh.renew_and_read()
+        self.assertFalse(fresh.is_live('two', 'any'))
         self.assertNotIn(events.ROW_UNREADABLE, found)
 
     def test_mended(self):
         """The next renewal of an unreadable row makes the entry a member."""
-        self.table.spoil(f'{PREFIX}two')
-        self.one.step()
+        self.table.spoil(f'{MEMBER_PREFIX}two')
+        self.one.renew_and_read()
         self.table.unreadable.clear()
-        self.clock.advance(LEASE_S - 1)
-        self.two.step()
-        self.one.step()
-        self.clock.advance(LEASE_S - 1)
-        self.one.step()
+        self.clock.advance(MEMBER_LEASE_S - 1)
+        self.two.renew_and_read()
+        self.one.renew_and_read()
+        self.clock.advance(MEMBER_LEASE_S - 1)
+        self.one.renew_and_read()
         self.assertIn('two', self.names())
 
 
@@ -135,10 +137,10 @@
 
     def look(self):
         """Renew the lease, load all heads and poll for orphaned jobs once."""
-        self.one.step()
+        self.one.renew_and_read()
         for row in self.table.scan('jobs/', Priority.lease):
             self.heads.put(row)
-        self.manager.look()
+        self.manager.poll()
         gevent.sleep(0.01)
 
     @params('progress', 'payload', 'head')
--- a/tests/test_stop_races.py
+++ b/tests/test_stop_races.py
@@ -23,8 +23,8 @@
 from cactusridge.jobs.manager import JobManager
 from cactusridge.jobs.model import JobHead, JobItem
 from cactusridge.jobs.orphans import Orphans
-from cactusridge.jobs.session import PREFIX, Session
-from cactusridge.jobs.tenure import Tenure
+from cactusridge.jobs.session import MEMBER_PREFIX, Membership
+from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.platform.job_parts import JobParts
 from cactusridge.startup.models import (
     BatchSettings,
@@ -72,10 +72,12 @@
             self.go_on.wait()
 
 
-def session_on(table, clock) -> Session:
+def session_on(table, clock) -> Membership:
     """Return the session of an entry named ``one``."""
-    tenure = Tenure(StoreClock(clock))
-    return Session(table, clock, 'one', ('127.0.0.1', 1), 'z', tenure)
+    membership_start = MembershipStart(StoreClock(clock))
+    return Membership(
+        table, clock, 'one', ('127.0.0.1', 1), 'z', membership_start
+    )
 
 
 class TestSpans(unittest.TestCase):
@@ -125,7 +127,7 @@
         """A job whose progress is read during the stop is handed over."""
         table, clock = SlowTable('read'), ManualClock()
         session = session_on(table, clock)
-        session.step()
+        session.renew_and_read()
         scheduler = mock.Mock(jobs={})
         ledger = JobLedger(table, MemoryObjects(), clock)
         manager = JobManager(
@@ -137,7 +139,7 @@
             clock,
             lambda: True,
         )
-        head = manager.held_here(JobHead('job', 'h', '/p', 1, 0))
+        head = manager.with_this_holder(JobHead('job', 'h', '/p', 1, 0))
         table.hold = True
         manager.accept(head, [JobItem('i', '/p/0', {}, 'MQ==', 1)])
         table.held.wait(BOUND_S)
@@ -151,7 +153,7 @@
         manager, ledger = self.manager_over_mocks()
         ledger.take_over.side_effect = HoldLost('another entry was first')
         with mock.patch('cactusridge.logs.emit') as emit:
-            manager.look()
+            manager.poll()
             gevent.sleep(0)
         self.assertEqual(mock.call('job'), ledger.head.call_args)
         said = {call.args[0] for call in emit.call_args_list}
@@ -161,7 +163,7 @@
         """Return a manager that knows an orphaned job, and its ledger."""
         head = JobHead('job', 'h', '/p', 1, 0, '', '')
         heads, ledger = mock.Mock(), mock.Mock()
-        heads.every.return_value = [head]
+        heads.all_heads.return_value = [head]
         ledger.head.return_value = head
         manager = JobManager(
             ledger,
@@ -178,15 +180,15 @@
         """A renewal in progress does not restore the row of a left entry."""
         table = SlowTable('transact')
         session = session_on(table, ManualClock())
-        session.step()
+        session.renew_and_read()
         table.hold = True
-        renewing = gevent.spawn(session.step)
+        renewing = gevent.spawn(session.renew_and_read)
         table.held.wait(BOUND_S)
         leaving = gevent.spawn(session.leave)
         gevent.sleep(0)
         table.go_on.set()
         gevent.joinall([renewing, leaving], BOUND_S)
-        rows = table.scan(PREFIX, Priority.lease)
+        rows = table.scan(MEMBER_PREFIX, Priority.lease)
         self.assertEqual([], [row.key for row in rows if row.value])
 
     def test_hand_over_that_waits(self):
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -16,7 +16,7 @@
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState, JobHead, JobItem
 from cactusridge.jobs.urgency import OnTimeFirst
-from cactusridge.jobs.waiting_line import WaitingLine
+from cactusridge.jobs.waiting_line import ItemQueue
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.suspects import CrashEvidence
 
@@ -98,7 +98,7 @@
         routes = (ROUTE,) if listed else ()
         catalog = Catalog(version, routes, CallerLimits())
         store_clock = SimpleNamespace(now_ms=lambda: NOW_MS + age_s * 1000)
-        line = WaitingLine(
+        line = ItemQueue(
             ManualClock(),
             store_clock,
             lambda: catalog,
