--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -18,7 +18,7 @@
 from cactusridge.batch.watchlist import LeaseWatch
 from cactusridge.errors import CactusridgeError, StoreUnavailable
 from cactusridge.identity import new_id
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, scan_all
 
@@ -36,7 +36,7 @@
     eventually.
     """
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: EntryComponents) -> None:
         """Create a driver that uses the components in ``parts``."""
         self._parts = parts
         self._cfg = parts.cfg.batch
--- a/cactusridge/batch/item_runner.py
+++ b/cactusridge/batch/item_runner.py
@@ -107,7 +107,7 @@
             # for a replica, so the dispatch is built again.
             dispatch = self._dispatch(task)
             attempt = self._dispatcher.attempt(dispatch, replica)
-            body = attempt.whole()
+            body = attempt.read_body()
         if (
             attempt.status >= SERVER_FAULT
             or attempt.status == TOO_MANY_REQUESTS
--- a/cactusridge/batch/placer.py
+++ b/cactusridge/batch/placer.py
@@ -112,7 +112,7 @@
         return replicas[best[1]] if best[0] > 0 else None
 
     def _remaining_share(self, replica: Replica, entries: int) -> int:
-        fair = replica.batch_share(entries)
+        fair = replica.batch_item_limit(entries)
         return fair - self._placed.get(replica.key, 0)
 
     def _count(self, replica: Replica, change: int) -> None:
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -113,12 +113,12 @@
                 left_s,
                 # A fault that broke one pooled connection may have broken
                 # those to other replicas too, and attempts are limited.
-                fresh=progress.may_have_run > 0,
+                new_connection=progress.may_have_run > 0,
             )
         except OutcomeUnknown:
             progress.may_have_run += 1
             raise
-        call.caller.call_when_gone(run.abort)
+        call.caller.on_disconnect(run.abort)
         self._log.placed(call, progress, replica, req)
         return run
 
@@ -140,7 +140,7 @@
             limit_s = tolerated_silence_s(
                 self._runner.loads.total_at(run.replica.incarnation),
                 run.replica.slots,
-                call.route.aim_s,
+                call.route.target_latency_s,
             )
         try:
             return run.head(self.wait_s(call, limit_s))
@@ -152,7 +152,7 @@
             # wait that was limited to allow a retry at another replica
             # counts as a failure of the replica.
             if limit_s is not None:
-                run.failed()
+                run.record_failure()
             raise
 
     def check(self, call: OnlineCall, progress: Progress) -> None:
@@ -163,7 +163,7 @@
         deadline DeadlineExceeded, or Overloaded if the request has not
         run.
         """
-        if call.caller.gone:
+        if call.caller.disconnected:
             raise CallerGone
         self._runner.suspects.check(call.req.fingerprint)
         call.permit.check()
@@ -193,14 +193,16 @@
         """Raise Overloaded if the expected wait at ``best`` is too long."""
         slot_time = self._runner.slot_time(best.replica.service)
         wait_s = expected_wait_s(best, slot_time.mean_s)
-        excess_s = self._policies.admission.excess_s(wait_s, call.route.aim_s)
+        excess_s = self._policies.admission.excess_s(
+            wait_s, call.route.target_latency_s
+        )
         if excess_s <= 0:
             return
         left_s = call.deadline_at - self._clock.monotonic()
         refusal = Refusal(excess_s, left_s)
         raise Overloaded(
             f'the expected wait is {wait_s:.3f} s',
-            retry_after_s=self._policies.returns.after_s(refusal),
+            retry_after_s=self._policies.returns.delay_s(refusal),
         )
 
     def _service(self, route: Route) -> str:
--- a/cactusridge/dispatch/caller.py
+++ b/cactusridge/dispatch/caller.py
@@ -7,29 +7,29 @@
 class CallerWatch(abc.ABC):
     """Tracks whether a caller has disconnected.
 
-    ``gone`` is True from the time of the disconnect.
+    ``disconnected`` is True from the time of the disconnect.
     """
 
     def __init__(self) -> None:
         """Start with a connected caller."""
-        self.gone = False
-        self._on_gone: Callable[[], None] | None = None
+        self.disconnected = False
+        self._on_disconnect: Callable[[], None] | None = None
 
-    def call_when_gone(self, action: Callable[[], None] | None) -> None:
+    def on_disconnect(self, action: Callable[[], None] | None) -> None:
         """Set the function to call when the caller disconnects.
 
         It replaces the function set before; None removes that one. If
         the caller has already disconnected, ``action`` is called at once.
         """
-        self._on_gone = action
-        if self.gone and action is not None:
+        self._on_disconnect = action
+        if self.disconnected and action is not None:
             action()
 
-    def note_gone(self) -> None:
+    def record_disconnect(self) -> None:
         """Record that the caller has disconnected and call the action."""
-        self.gone = True
-        if self._on_gone is not None:
-            self._on_gone()
+        self.disconnected = True
+        if self._on_disconnect is not None:
+            self._on_disconnect()
 
     @abc.abstractmethod
     def stop(self) -> None:
--- a/cactusridge/dispatch/catalog.py
+++ b/cactusridge/dispatch/catalog.py
@@ -11,8 +11,8 @@
     """The kind of a route: whether requests may be repeated or are streamed."""
 
     idempotent = 'idempotent'
-    once = 'non_idempotent'
-    stream = 'streaming'
+    non_idempotent = 'non_idempotent'
+    streaming = 'streaming'
     batch = 'batch'
 
 
@@ -27,11 +27,11 @@
     """One route; all times are in seconds.
 
     ``timeout_s`` limits the time from the arrival of a request to the end
-    of its answer. ``aim_s`` is the target latency: an answer that starts
-    within it is on time. ``attempts`` is the number of replicas on which
-    one request may run. ``due_s`` and ``give_up_s`` count from the
-    submission of a batch job: the results are due after ``due_s``, and an
-    unfinished item may be abandoned after ``give_up_s``. Callers of a
+    of its answer. ``target_latency_s`` is the target latency: an answer
+    that starts within it is on time. ``attempts`` is the number of replicas
+    on which one request may run. ``due_s`` and ``abandon_after_s`` count from
+    the submission of a batch job: the results are due after ``due_s``, and an
+    unfinished item may be abandoned after ``abandon_after_s``. Callers of a
     ``public`` route need no API key.
     """
 
@@ -41,18 +41,18 @@
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
     timeout_s: float
-    aim_s: float
+    target_latency_s: float
     attempts: int
     priority: int
     resumable: bool
     due_s: float = 0
-    give_up_s: float = 0
+    abandon_after_s: float = 0
     public: bool = False
 
     @property
     def repeatable(self) -> bool:
         """Whether a request may run more than once."""
-        if self.kind == RouteKind.stream:
+        if self.kind == RouteKind.streaming:
             return self.resumable
         return self.kind == RouteKind.idempotent
 
@@ -95,4 +95,4 @@
     return len(route.prefix)
 
 
-NO_CATALOG = Catalog(0, (), CallerLimits())
+EMPTY_CATALOG = Catalog(0, (), CallerLimits())
--- a/cactusridge/dispatch/claims.py
+++ b/cactusridge/dispatch/claims.py
@@ -54,14 +54,14 @@
     """Decides which of the entries that claim a slot may use it."""
 
     @abc.abstractmethod
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return the time from a claim to its decision, in seconds.
 
         ``large`` is True if the fleet has several cells.
         """
 
     @abc.abstractmethod
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
@@ -75,14 +75,14 @@
         """
 
 
-class ToldClaims(ClaimRule):
+class AnnouncedClaims(ClaimRule):
     """Grants the claims that ``granted_claims`` returns at every entry."""
 
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return the time in which the claims of all peers must arrive."""
         return LARGE_FLEET_CLAIM_WAIT_S if large else CLAIM_WAIT_S
 
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
@@ -93,17 +93,17 @@
         return granted_claims(slots, incarnation, loads)[entry] > 0
 
 
-class NoClaims(ClaimRule):
+class GrantAllClaims(ClaimRule):
     """Naive rule: grants every claim.
 
     Surplus items are preempted at the replica afterwards.
     """
 
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return 0, since no claims of peers are awaited."""
         return 0
 
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
--- a/cactusridge/dispatch/crash_watch.py
+++ b/cactusridge/dispatch/crash_watch.py
@@ -63,7 +63,7 @@
 
     def _probe(self, replica: Replica) -> None:
         broken = self._broken.pop(replica.incarnation)
-        if self._upstream.lives(replica):
+        if self._upstream.is_running(replica):
             return
         for run in broken:
             self._suspects.crashed(
--- a/cactusridge/dispatch/online.py
+++ b/cactusridge/dispatch/online.py
@@ -93,7 +93,7 @@
         if self._should_retry(call, head, progress):
             raise UpstreamFailed(f'{run.replica.id} answered {head.status}')
         self._log.answered(call, run.replica)
-        if call.route.kind == RouteKind.stream and is_success(head.status):
+        if call.route.kind == RouteKind.streaming and is_success(head.status):
             body = self._streams.relay(call, run, progress)
             return Answer(head.status, head.headers, body)
         begun_at = call.arrived_at
--- a/cactusridge/dispatch/online_log.py
+++ b/cactusridge/dispatch/online_log.py
@@ -68,7 +68,7 @@
             after_event=splitter.last_id,
             ran_s=round(run.elapsed_s(), 4),
             resumable=call.route.resumable,
-            caller_gone=call.caller.gone,
+            caller_gone=call.caller.disconnected,
             cause=exc.code,
             error=str(exc),
         )
--- a/cactusridge/dispatch/placement.py
+++ b/cactusridge/dispatch/placement.py
@@ -120,13 +120,15 @@
     return choices[min(ranked)[-1]]
 
 
-def tolerated_silence_s(load: Load, slots: int, aim_s: float) -> float:
+def tolerated_silence_s(
+    load: Load, slots: int, target_latency_s: float
+) -> float:
     """Return the silence to tolerate before a retry, in seconds.
 
-    ``load`` includes the request itself; ``aim_s`` is the target latency
-    in seconds.
+    ``load`` includes the request itself; ``target_latency_s`` is the target
+    latency in seconds.
     """
-    usual_s = max(MIN_SILENCE_S, aim_s)
+    usual_s = max(MIN_SILENCE_S, target_latency_s)
     return usual_s * QUEUED_SILENCE_FACTOR if load.online > slots else usual_s
 
 
--- a/cactusridge/dispatch/retries.py
+++ b/cactusridge/dispatch/retries.py
@@ -37,7 +37,7 @@
     Raises CallerGone if the caller has disconnected, Overloaded after
     too many rejections, and ``exc`` otherwise.
     """
-    if call.caller.gone:
+    if call.caller.disconnected:
         raise CallerGone from exc
     if isinstance(exc, NotRun | ConnectFailed):
         progress.rejections += 1
--- a/cactusridge/dispatch/returns.py
+++ b/cactusridge/dispatch/returns.py
@@ -38,7 +38,7 @@
     """Computes the retry delay of a refused caller."""
 
     @abc.abstractmethod
-    def after_s(self, refusal: Refusal) -> float:
+    def delay_s(self, refusal: Refusal) -> float:
         """Return the retry delay to send to the caller, in seconds."""
 
 
@@ -48,7 +48,7 @@
     All callers refused at the same time get nearly the same delay.
     """
 
-    def after_s(self, refusal: Refusal) -> float:
+    def delay_s(self, refusal: Refusal) -> float:
         """Return the time by which the expected wait is too long."""
         return max(MIN_RETRY_S, refusal.excess_s)
 
@@ -65,7 +65,7 @@
         """Draw the retry delays from ``rng``."""
         self._rng = rng
 
-    def after_s(self, refusal: Refusal) -> float:
+    def delay_s(self, refusal: Refusal) -> float:
         """Return a random delay that leaves time for a second attempt."""
         latest_s = LATEST_SHARE * refusal.left_s
         wait_s = self._rng.uniform(EARLIEST_SHARE * latest_s, latest_s)
--- a/cactusridge/dispatch/route_matches.py
+++ b/cactusridge/dispatch/route_matches.py
@@ -1,12 +1,12 @@
 """Caches the routes found for hosts and paths."""
 
-from cactusridge.dispatch.catalog import NO_CATALOG, Catalog, Route
+from cactusridge.dispatch.catalog import EMPTY_CATALOG, Catalog, Route
 
 # Enough for the items of a few hundred jobs.
 MAX_MATCHES = 4096
 
 
-class RouteMatches:
+class RouteCache:
     """Caches matches until the configuration changes.
 
     The batch scheduler looks up the route of every waiting item in each
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         """Start with an empty cache."""
-        self._catalog = NO_CATALOG
+        self._catalog = EMPTY_CATALOG
         self._found: dict[tuple[str, str], Route | None] = {}
 
     def match(self, catalog: Catalog, host: str, path: str) -> Route | None:
--- a/cactusridge/dispatch/run.py
+++ b/cactusridge/dispatch/run.py
@@ -100,14 +100,14 @@
             raise
         if head.misdirected or head.not_run:
             if head.misdirected:
-                self.failed()
+                self.record_failure()
             raise NotRun(f'{self.replica.id} answered {head.status}')
-        if is_success(head.status) and not head.genuine:
-            self.failed()
+        if is_success(head.status) and not head.signed:
+            self.record_failure()
             raise CrossedReply(f'{self.replica.id} did not sign its answer')
         self._stage = Stage.started
         self._received_at = self._runner.clock.monotonic()
-        if head.genuine:
+        if head.signed:
             incarnation = self.replica.incarnation
             self._runner.suspects.answered(incarnation, self._opened_at)
             if not is_success(head.status):
@@ -128,7 +128,7 @@
         self._received_at = self._runner.clock.monotonic()
         return received
 
-    def note_output(self) -> None:
+    def record_output(self) -> None:
         """Record that part of the output has been received."""
         self._stage = Stage.answering
 
@@ -144,7 +144,7 @@
             self._check_abandoned()
         self.exchange.abort()
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record a failure of the replica that no request can have caused."""
         self._runner.health.failed(self.replica.incarnation, certain=True)
 
@@ -154,7 +154,7 @@
 
     def _check_broken(self, exc: CactusridgeError) -> None:
         """Record a broken answer and check whether the replica crashed."""
-        self.failed()
+        self.record_failure()
         if self._aborted or not isinstance(exc, BROKEN_CONNECTION_ERRORS):
             return
         broken = InterruptedRun(self._fingerprint, self._stage)
@@ -220,7 +220,7 @@
         req: UpstreamRequest,
         kind: WorkKind,
         left_s: float,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Run:
         """Send ``req`` to ``replica``; see ``Upstream.send``.
 
@@ -231,7 +231,9 @@
                 self.loads.count_request(replica.incarnation, kind)
             )
             try:
-                exchange = self._upstream.send(replica, req, left_s, fresh)
+                exchange = self._upstream.send(
+                    replica, req, left_s, new_connection
+                )
             except CactusridgeError:
                 self.health.failed(replica.incarnation, certain=True)
                 raise
--- a/cactusridge/dispatch/streams.py
+++ b/cactusridge/dispatch/streams.py
@@ -79,11 +79,11 @@
         while received:
             whole = b''.join(event.raw for event in splitter.feed(received))
             if whole:
-                run.note_output()
+                run.record_output()
                 yield whole
             received = run.read(self._attempts.wait_s(call, limit_s))
         if splitter.pending:
-            run.failed()
+            run.record_failure()
             raise TruncatedReply('the stream ended within an event')
 
     def _resume(
--- a/cactusridge/dispatch/upstream.py
+++ b/cactusridge/dispatch/upstream.py
@@ -33,7 +33,7 @@
 
     ``not_run`` is True if the upstream reported that the request did not
     run. ``misdirected`` is True if another process now listens at the
-    address. ``genuine`` is True if the answer belongs to this request and
+    address. ``signed`` is True if the answer belongs to this request and
     carries the signature header of the upstream.
     """
 
@@ -41,7 +41,7 @@
     headers: HeaderList
     not_run: bool
     misdirected: bool
-    genuine: bool
+    signed: bool
 
 
 class ConnectFailed(Refused):
@@ -105,15 +105,15 @@
         replica: Replica,
         req: UpstreamRequest,
         left_s: float,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Exchange:
         """Send ``req``, which has ``left_s`` seconds to its deadline.
 
-        If ``fresh`` is set, the request goes out on a new connection.
+        If ``new_connection`` is set, the request goes out on a new connection.
         Raises ConnectFailed if the replica could not be reached, and
         OutcomeUnknown if the connection broke while sending.
         """
 
     @abc.abstractmethod
-    def lives(self, replica: Replica) -> bool:
+    def is_running(self, replica: Replica) -> bool:
         """Return whether this incarnation still listens at its address."""
--- a/cactusridge/dispatch/yielding.py
+++ b/cactusridge/dispatch/yielding.py
@@ -14,7 +14,7 @@
 from cactusridge.peers.load import Load
 
 
-def shares_to_yield(
+def preemption_counts(
     slots: int,
     loads: Mapping[str, Load],
 ) -> dict[str, int]:
@@ -34,6 +34,6 @@
     return shares
 
 
-def room(slots: int, load: Load) -> int:
+def free_batch_slots(slots: int, load: Load) -> int:
     """Return how many more batch requests may start at a replica now."""
     return max(0, slots - load.total - load.claims)
--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -14,7 +14,7 @@
 from cactusridge.settings.access import Caller, check_operator
 from cactusridge.settings.follower import SettingsFollower
 from cactusridge.settings.tree import Change
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.slo.burn import QUARTER, BurnReporter
 from cactusridge.slo.history import SloHistory
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: EntryComponents,
         follower: SettingsFollower,
         peers: PeerClient,
     ) -> None:
--- a/cactusridge/entry/answering.py
+++ b/cactusridge/entry/answering.py
@@ -7,7 +7,7 @@
 from cactusridge.http.exchange import Headers, Reply, Req
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.slo.sample import AnswerTimer
 
 HOP_HEADERS = frozenset(('content-length', 'connection', 'date'))
@@ -21,14 +21,16 @@
 
     def whole(self) -> Reply:
         """Return the answer as one body."""
-        body = self.attempt.whole()
+        body = self.attempt.read_body()
         self.timer.finished(self.attempt.status)
         headers = answer_headers(self.attempt)
         headers.append(('Content-Length', str(len(body))))
         return Reply(self.attempt.status, headers, [body])
 
 
-def begin_answer(parts: Parts, req: Req, dispatch: Dispatch) -> Answering:
+def begin_answer(
+    parts: EntryComponents, req: Req, dispatch: Dispatch
+) -> Answering:
     """Place ``dispatch``; return its answer, or raise the refusal.
 
     While no answer has begun, a caller that hangs up ends the request.
--- a/cactusridge/entry/batches.py
+++ b/cactusridge/entry/batches.py
@@ -13,7 +13,7 @@
 from cactusridge.http.exchange import Reply, Req, json_reply
 from cactusridge.settings.paths import NAME
 from cactusridge.settings.schema import JobSettings
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 
 KEY_HEADER = 'Idempotency-Key'
 MAX_KEY = 256
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: EntryComponents,
         files: FileStore,
         jobs: JobStore,
         reader: JobReader,
--- a/cactusridge/entry/building.py
+++ b/cactusridge/entry/building.py
@@ -15,7 +15,7 @@
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.sidecar_dispatch.dispatcher import Dispatcher
 from cactusridge.sidecar_dispatch.fleet import Fleet
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
 from cactusridge.slo.burn_watch import BurnWatch
 from cactusridge.slo.recorder import SloRecorder
@@ -29,7 +29,7 @@
 NAME_BYTES = 4
 
 
-def build_parts(cfg: EntrySettings, clock: Clock) -> Parts:
+def build_parts(cfg: EntrySettings, clock: Clock) -> EntryComponents:
     """Return the parts of an entry; nothing runs yet."""
     rng = random.Random()  # noqa: S311
     tree = SettingsTree()
@@ -40,7 +40,7 @@
     host_list = HttpHostList(_link(cfg, clock))
     fleet = Fleet(cfg, host_list, client, tree, greenlets)
     name = f'{cfg.address}~{secrets.token_hex(NAME_BYTES)}'
-    return Parts(
+    return EntryComponents(
         cfg=cfg,
         clock=clock,
         tree=tree,
--- a/cactusridge/entry/files.py
+++ b/cactusridge/entry/files.py
@@ -11,7 +11,7 @@
 from cactusridge.errors import BadRequest
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 
 OUTPUT_PREFIX = 'file-out-'
 ERROR_PREFIX = 'file-err-'
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: EntryComponents,
         files: FileStore,
         jobs: JobStore,
         reader: JobReader,
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -12,7 +12,7 @@
 from cactusridge.settings.catalog import Service
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.slo.sample import AnswerTimer
 
 OK = 200
@@ -45,7 +45,7 @@
 class OnlineApi:
     """Answers online requests for models."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: EntryComponents) -> None:
         """Serve with ``parts``."""
         self._parts = parts
 
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -8,7 +8,7 @@
 from cactusridge.http.exchange import Reply, Req
 from cactusridge.settings.catalog import Service
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 
 REPEATABLE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
 PATH_SAFE = "/:@!$&'()*+,;=~-._"
@@ -33,7 +33,7 @@
 class PlainApi:
     """Passes calls on to plain services."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: EntryComponents) -> None:
         """Serve with ``parts``."""
         self._parts = parts
 
--- a/cactusridge/jobs/free_replicas.py
+++ b/cactusridge/jobs/free_replicas.py
@@ -6,7 +6,7 @@
 
 from cactusridge.dispatch.catalog import Route
 from cactusridge.dispatch.run import Runner
-from cactusridge.dispatch.yielding import room
+from cactusridge.dispatch.yielding import free_batch_slots
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica
 from cactusridge.peers.batch_sharing import BatchSharing
@@ -40,7 +40,9 @@
         free = [
             (
                 key in local,
-                room(usable[key].slots, self._runner.loads.total_at(key)),
+                free_batch_slots(
+                    usable[key].slots, self._runner.loads.total_at(key)
+                ),
                 self._rng.random(),
                 key,
             )
--- a/cactusridge/jobs/item_run.py
+++ b/cactusridge/jobs/item_run.py
@@ -114,7 +114,7 @@
                 self._request(),
                 WorkKind.batch,
                 RUN_DEADLINE_S,
-                fresh=self.task.interrupted,
+                new_connection=self.task.interrupted,
             )
         except CactusridgeError:
             return RunOutcome.interrupted
@@ -145,10 +145,10 @@
 
     def _read(self, run: Run) -> RunOutcome:
         head = run.head(READ_TIMEOUT_S)
-        if head.status == UNPROCESSABLE and head.genuine:
+        if head.status == UNPROCESSABLE and head.signed:
             return RunOutcome.impossible
         if head.status >= SERVER_FAULT:
-            failed = head.status == SERVER_FAULT and head.genuine
+            failed = head.status == SERVER_FAULT and head.signed
             return RunOutcome.failed if failed else RunOutcome.interrupted
         if head.status != OK:
             return RunOutcome.interrupted
@@ -161,7 +161,7 @@
         received = run.read(READ_TIMEOUT_S)
         while received:
             for event in splitter.feed(received):
-                run.note_output()
+                run.record_output()
                 self._append_event(event.id, event.payload)
             received = run.read(READ_TIMEOUT_S)
         if splitter.pending:
--- a/cactusridge/jobs/policies.py
+++ b/cactusridge/jobs/policies.py
@@ -3,14 +3,18 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from cactusridge.dispatch.claims import ClaimRule, NoClaims, ToldClaims
+from cactusridge.dispatch.claims import (
+    AnnouncedClaims,
+    ClaimRule,
+    GrantAllClaims,
+)
 from cactusridge.jobs.urgency import DueFirst, OnTimeFirst, Urgency
 from cactusridge.startup.models import DirectPolicy
 
 URGENCIES = MappingProxyType(
     {'on_time_first': OnTimeFirst, 'due_first': DueFirst},
 )
-CLAIMS = MappingProxyType({'told': ToldClaims, 'none': NoClaims})
+CLAIMS = MappingProxyType({'told': AnnouncedClaims, 'none': GrantAllClaims})
 
 
 class BatchPolicies(NamedTuple):
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -10,7 +10,7 @@
 from cactusridge.dispatch.catalog import Route
 from cactusridge.dispatch.claims import ClaimRule
 from cactusridge.dispatch.run import Runner
-from cactusridge.dispatch.yielding import shares_to_yield
+from cactusridge.dispatch.yielding import preemption_counts
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica
 from cactusridge.jobs.free_replicas import FreeReplicas
@@ -92,7 +92,7 @@
         }
         for replica in replicas.values():
             loads = self._loads_at(replica)
-            count = shares_to_yield(replica.slots, loads)[self._name]
+            count = preemption_counts(replica.slots, loads)[self._name]
             if count:
                 self._preempt_newest(replica, count)
 
@@ -142,10 +142,14 @@
         claim: contextlib.ExitStack,
     ) -> None:
         """Start an item if its claim is granted, else return it to waiting."""
-        gevent.sleep(self._claims.wait_s(self._cells.has_several_cells))
+        gevent.sleep(
+            self._claims.decision_delay_s(self._cells.has_several_cells)
+        )
         loads = self._loads_at(replica)
         incarnation = replica.incarnation
-        kept = self._claims.keeps(self._name, replica.slots, incarnation, loads)
+        kept = self._claims.grants(
+            self._name, replica.slots, incarnation, loads
+        )
         claim.close()
         if kept and self._may_start(waiting.job, replica):
             METER.steps['claims_kept'] += 1
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -5,7 +5,7 @@
 
 from cactusridge.clock import Clock
 from cactusridge.dispatch.catalog import Catalog, Route
-from cactusridge.dispatch.route_matches import RouteMatches
+from cactusridge.dispatch.route_matches import RouteCache
 from cactusridge.jobs.held_job import HeldJob
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState
@@ -51,7 +51,7 @@
         self._urgency = urgency
         self._run_times: dict[str, RunTimeEstimator] = {}
         self._not_before: dict[str, float] = {}
-        self._routes = RouteMatches()
+        self._routes = RouteCache()
 
     def urgent_first(self, jobs: Iterable[HeldJob]) -> list[WaitingItem]:
         """Return the items of ``jobs`` that may start, most urgent first."""
@@ -104,7 +104,7 @@
         if route is None:
             self.finish(job, task, ItemState.given_up)
             return None
-        if age_s > route.give_up_s + GIVE_UP_MARGIN_S:
+        if age_s > route.abandon_after_s + GIVE_UP_MARGIN_S:
             self.finish(job, task, ItemState.given_up)
             return None
         if self._suspects.is_quarantined(task.fingerprint):
@@ -113,7 +113,7 @@
             return None
         times = ItemTimes(
             route.due_s - age_s,
-            route.give_up_s - age_s,
+            route.abandon_after_s - age_s,
             self.run_times(route).remaining_s(task.events),
         )
         rank = self._urgency.rank(times)
--- a/cactusridge/platform/caller_watch.py
+++ b/cactusridge/platform/caller_watch.py
@@ -19,7 +19,7 @@
 
     def stop(self) -> None:
         """Stop watching; the callback is not called any more."""
-        self.call_when_gone(None)
+        self.on_disconnect(None)
         self._greenlet.kill(block=False)
 
     def _watch(self) -> None:
@@ -30,4 +30,4 @@
             closed = True
         # Received bytes are a pipelined next request: the caller is connected.
         if closed:
-            self.note_gone()
+            self.record_disconnect()
--- a/cactusridge/platform/operator.py
+++ b/cactusridge/platform/operator.py
@@ -4,7 +4,7 @@
 
 from cactusridge import events, logs, metrics
 from cactusridge.dispatch.catalog import (
-    NO_CATALOG,
+    EMPTY_CATALOG,
     CallerLimits,
     Catalog,
     Route,
@@ -40,7 +40,7 @@
         # version could be decoded.
         self._row_version = ABSENT
         self._row_readable = False
-        self.catalog = NO_CATALOG
+        self.catalog = EMPTY_CATALOG
         self.raw: dict[str, Any] = {}
         self._reports = RowReports(events.SETTINGS_UNREADABLE)
 
@@ -183,12 +183,13 @@
         kind=fields.word('kind', RouteKind),
         shares=_shares(fields),
         timeout_s=timeout_ms / MS_PER_S,
-        aim_s=fields.number('target_latency_ms', timeout_ms) / MS_PER_S,
+        target_latency_s=fields.number('target_latency_ms', timeout_ms)
+        / MS_PER_S,
         attempts=fields.whole('max_attempts', 1),
         priority=fields.whole('priority', 0),
         resumable=fields.flag('resumable', False),  # noqa: WPS425
         due_s=fields.number('result_due_ms', 0) / MS_PER_S,
-        give_up_s=fields.number('max_wait_s', 0),
+        abandon_after_s=fields.number('max_wait_s', 0),
         public=fields.flag('public', False),  # noqa: WPS425
     )
 
--- a/cactusridge/platform/upstream.py
+++ b/cactusridge/platform/upstream.py
@@ -156,10 +156,10 @@
     def _checked_head(self, headers: HeaderList) -> UpstreamHead:
         by_name = {name.lower(): text for name, text in headers}
         not_run = names.NOT_RUN.lower() in by_name
-        wrong_one = self._parser.status == MISDIRECTED
+        misdirected = self._parser.status == MISDIRECTED
         echoed = by_name.get(names.REQUEST_ID.lower(), '')
         is_own = echoed == self._req.id
-        if not is_own and (echoed or not (not_run or wrong_one)):
+        if not is_own and (echoed or not (not_run or misdirected)):
             self._broken = True
             raise CrossedReply(f'response to request {echoed or "(no id)"}')
         return UpstreamHead(
@@ -170,7 +170,7 @@
                 if name.lower() not in names.HOP_BY_HOP
             ],
             not_run,
-            wrong_one,
+            misdirected,
             is_own and names.SIGNATURE.lower() in by_name,
         )
 
@@ -194,15 +194,16 @@
         replica: Replica,
         req: UpstreamRequest,
         left_s: float,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Exchange:
         """Send ``req`` to ``replica``, the only one that may run it.
 
-        ``left_s`` is the remaining time in seconds; a ``fresh`` request gets
-        a new connection. Raises ConnectFailed or OutcomeUnknown.
+        ``left_s`` is the remaining time in seconds. If ``new_connection`` is
+        set, the request goes out on a new connection. Raises ConnectFailed or
+        OutcomeUnknown.
         """
         raw = request_bytes(replica, req, left_s)
-        if fresh:
+        if new_connection:
             sock = self.connections.connect(replica.address)
         else:
             sock = self.connections.take(replica.incarnation, replica.address)
@@ -214,7 +215,7 @@
             raise
         return exchange
 
-    def lives(self, replica: Replica) -> bool:
+    def is_running(self, replica: Replica) -> bool:
         """Return whether ``replica`` is still running at its address."""
         try:
             sock = self.connections.connect(replica.address)
--- a/cactusridge/sidecar_dispatch/attempt.py
+++ b/cactusridge/sidecar_dispatch/attempt.py
@@ -130,7 +130,7 @@
         finally:
             self.close()
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """Return the complete body."""
         return b''.join(self.blocks())
 
--- a/cactusridge/sidecar_dispatch/dispatcher.py
+++ b/cactusridge/sidecar_dispatch/dispatcher.py
@@ -36,7 +36,7 @@
 from cactusridge.sidecar_dispatch.replica import Replica
 from cactusridge.sidecar_dispatch.settler import OutcomeResolver
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
-from cactusridge.sidecar_dispatch.suspect_run import CrashIds, SuspectRun
+from cactusridge.sidecar_dispatch.suspect_run import CrashIds, CrashReporter
 from cactusridge.startup.models import EntrySettings
 
 NON_RETRYABLE_CODES = frozenset(
@@ -185,7 +185,7 @@
         callbacks = Callbacks(
             on_heartbeat,
             functools.partial(self.fleet.note_report, replica.address),
-            SuspectRun(dispatch, replica, self.suspects, self._crashes),
+            CrashReporter(dispatch, replica, self.suspects, self._crashes),
         )
         attempt = Attempt(order, replica, resp, callbacks)
         limit = gevent.Timeout(
--- a/cactusridge/sidecar_dispatch/parts.py
+++ b/cactusridge/sidecar_dispatch/parts.py
@@ -20,7 +20,7 @@
 from cactusridge.store.table import Table
 
 
-class Parts(NamedTuple):
+class EntryComponents(NamedTuple):
     """The shared components of an entry, passed around as one value."""
 
     cfg: EntrySettings
--- a/cactusridge/sidecar_dispatch/replica.py
+++ b/cactusridge/sidecar_dispatch/replica.py
@@ -58,7 +58,7 @@
             sharers=sharers,
         )
 
-    def batch_share(self, entries: int) -> int:
+    def batch_item_limit(self, entries: int) -> int:
         """Return how many batch items this entry may have in flight here.
 
         All entries together may send twice as many items as may run now,
--- a/cactusridge/sidecar_dispatch/suspect_run.py
+++ b/cactusridge/sidecar_dispatch/suspect_run.py
@@ -49,7 +49,7 @@
         return last.crash_id
 
 
-class SuspectRun(RunListener):
+class CrashReporter(RunListener):
     """Reports the outcome of one run of a request to the suspects."""
 
     def __init__(
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -85,8 +85,8 @@
         share = SimpleNamespace(service=SERVICE, weight=1)
         route = SimpleNamespace(
             shares=[share],
-            kind=RouteKind.stream,
-            aim_s=AIM_S,
+            kind=RouteKind.streaming,
+            target_latency_s=AIM_S,
         )
         deadline_at = self._play.clock.monotonic() + 5
         call = SimpleNamespace(route=route, deadline_at=deadline_at)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 
 from cactusridge.dispatch.claims import CLAIM_WAIT_S, granted_claims
-from cactusridge.dispatch.yielding import room
+from cactusridge.dispatch.yielding import free_batch_slots
 from cactusridge.peers.load import Load
 
 SLOTS = 8
@@ -73,7 +73,7 @@
     def _claim(self, event: Event) -> None:
         seen = self._received[event.entry].values()
         counts = Load(*map(sum, zip(*seen, strict=True)))
-        if room(1, counts):
+        if free_batch_slots(1, counts):
             self._broadcast(event, Load(0, 0, 1))
             settle = event._replace(at=event.at + self._wait_s, what='settle')
             heapq.heappush(self._events, settle)
--- a/tests/test_dispatch_decisions.py
+++ b/tests/test_dispatch_decisions.py
@@ -13,7 +13,7 @@
     expected_wait_s,
     tolerated_silence_s,
 )
-from cactusridge.dispatch.yielding import room, shares_to_yield
+from cactusridge.dispatch.yielding import free_batch_slots, preemption_counts
 from cactusridge.fleet.replica import Replica, ReplicaState
 from cactusridge.http.client import Address
 from cactusridge.peers.load import Load, WorkKind
@@ -91,12 +91,12 @@
     )
     def test_shares(self, loads, wanted):
         """No more batch requests are preempted than exceed the slots."""
-        self.assertEqual(wanted, shares_to_yield(SLOTS, loads))
+        self.assertEqual(wanted, preemption_counts(SLOTS, loads))
 
     @params((Load(0, 0), 8), (Load(3, 5), 0), (Load(12, 0), 0))
     def test_room(self, load, wanted):
         """Batch requests fill the free slots and never queue."""
-        self.assertEqual(wanted, room(SLOTS, load))
+        self.assertEqual(wanted, free_batch_slots(SLOTS, load))
 
     def test_burst_frees_as_many_as_come(self):
         """A burst at a full replica frees as many slots as it needs."""
@@ -109,7 +109,7 @@
                 str(number): Load(burst if number == 1 else 0, count)
                 for number, count in enumerate(batch)
             }
-            freed = sum(shares_to_yield(SLOTS, loads).values())
+            freed = sum(preemption_counts(SLOTS, loads).values())
             over = max(0, burst + sum(batch) - SLOTS)
             self.assertEqual(min(over, sum(batch)), freed)
 
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -80,8 +80,8 @@
         )
         self.route = SimpleNamespace(
             shares=[SimpleNamespace(service=SERVICE, weight=1)],
-            kind=RouteKind.stream,
-            aim_s=1,
+            kind=RouteKind.streaming,
+            target_latency_s=1,
         )
         cells = cells_of(places(*names), fleet, names[0], clock)
         self.attempts = Attempts(
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -9,7 +9,7 @@
 from cactusridge.clock import ManualClock
 from cactusridge.dispatch import policies as online
 from cactusridge.dispatch.admission import AdmitAll, InTime
-from cactusridge.dispatch.claims import NoClaims, ToldClaims
+from cactusridge.dispatch.claims import AnnouncedClaims, GrantAllClaims
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline
 from cactusridge.dispatch.returns import AfterBurst, NextSlot
 from cactusridge.jobs import policies as batch
@@ -31,7 +31,7 @@
     'returns': (AfterBurst, NextSlot),
     'outliers': (OutlierEjector, NoEjection),
     'items': (OnTimeFirst, DueFirst),
-    'claims': (ToldClaims, NoClaims),
+    'claims': (AnnouncedClaims, GrantAllClaims),
     'cells': (ByZone, OneCell),
     'quarantine': (ByCrashes, NoQuarantine),
     'limits': (OwnerLimiter, FixedShares),
@@ -81,7 +81,9 @@
     def test_one_or_both(self):
         """Announced claims let one entry start; without them both start."""
         loads = {'a': Load(0, 7, 1), 'b': Load(0, 0, 1)}
-        kept = [ToldClaims().keeps(name, 8, 'life', loads) for name in loads]
+        kept = [
+            AnnouncedClaims().grants(name, 8, 'life', loads) for name in loads
+        ]
         self.assertEqual(1, sum(kept))
-        self.assertTrue(NoClaims().keeps('a', 8, 'life', loads))
-        self.assertTrue(NoClaims().keeps('b', 8, 'life', loads))
+        self.assertTrue(GrantAllClaims().grants('a', 8, 'life', loads))
+        self.assertTrue(GrantAllClaims().grants('b', 8, 'life', loads))
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -63,7 +63,7 @@
             held_s = HOLD_S * rng.uniform(0.75, 1.25)
             heapq.heappush(busy, begins_at + held_s)
         elif call.first:
-            after_s = returns.after_s(Refusal(excess_s, LEFT_S))
+            after_s = returns.delay_s(Refusal(excess_s, LEFT_S))
             again = Call(call.at + after_s, call.number, first=False)
             heapq.heappush(calls, again)
         else:
@@ -101,14 +101,14 @@
         returns = AfterBurst(random.Random(1))
         latest_s = LATEST_SHARE * left_s
         earliest_s = max(EARLIEST_SHARE * latest_s, min(excess_s, latest_s))
-        waits = [returns.after_s(Refusal(excess_s, left_s)) for _ in range(99)]
+        waits = [returns.delay_s(Refusal(excess_s, left_s)) for _ in range(99)]
         self.assertGreaterEqual(min(waits), earliest_s)
         self.assertLessEqual(max(waits), latest_s)
 
     @params(AfterBurst(random.Random(1)), NextSlot())
     def test_shortest(self, returns):
         """No delay is shorter than a round trip to the caller."""
-        self.assertEqual(MIN_RETRY_S, returns.after_s(Refusal(0, 0)))
+        self.assertEqual(MIN_RETRY_S, returns.delay_s(Refusal(0, 0)))
 
 
 class TestBursts(unittest.TestCase):
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -48,11 +48,11 @@
         self._headed = headed
         self._lives = lives
 
-    def send(self, replica, req, left_s, fresh=False):
+    def send(self, replica, req, left_s, new_connection=False):
         """Accept the request."""
         return self
 
-    def lives(self, replica):
+    def is_running(self, replica):
         """Return whether the replica is running."""
         return self._lives
 
@@ -106,7 +106,7 @@
         with self.assertRaises(CactusridgeError):
             run.head(1)
             if output:
-                run.note_output()
+                run.record_output()
             run.read(1)
         clock.advance(1)
         gevent.sleep(2 * ABANDONED_PROBE_DELAY_S)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -33,11 +33,11 @@
         """Respond with ``status`` and a valid signature."""
         self._head = UpstreamHead(status, [], False, False, True)
 
-    def send(self, replica, req, left_s, fresh=False):
+    def send(self, replica, req, left_s, new_connection=False):
         """Accept the request."""
         return self
 
-    def lives(self, replica):
+    def is_running(self, replica):
         """Return True: the replica is running."""
         return True
 
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -30,12 +30,12 @@
     kind=RouteKind.batch,
     shares=(ServiceShare('model', 1),),
     timeout_s=5,
-    aim_s=1,
+    target_latency_s=1,
     attempts=2,
     priority=0,
     resumable=False,
     due_s=18,
-    give_up_s=GIVE_UP_S,
+    abandon_after_s=GIVE_UP_S,
 )
 
 
