--- a/bench/unreadable_rows.py
+++ b/bench/unreadable_rows.py
@@ -57,9 +57,9 @@
     try:
         entry = StrictEntry.model_validate(raw)
     except ValidationError:
-        return row_codec.row_in(raw)
+        return row_codec.parse_row(raw)
     key = f'{entry.table}/{entry.part}/{entry.key}'
-    held = row_codec.unpacked(entry.value)
+    held = row_codec.unpack(entry.value)
     return Row(key, held, entry.ver, unreadable=held is None)
 
 
@@ -114,7 +114,7 @@
 def main() -> None:
     """Print the figures."""
     listed = entries()
-    for name, read in (('hand', row_codec.row_in), ('model', by_model)):
+    for name, read in (('hand', row_codec.parse_row), ('model', by_model)):
         row_us = median_s(lambda: list(map(read, listed))) / ROWS * US
         say(f'{name}: {row_us:.2f} us a row')
     pages = [filled(listed) for _ in range(REPEATS)]
--- a/cactusridge/background.py
+++ b/cactusridge/background.py
@@ -15,7 +15,7 @@
     return True
 
 
-def keep_doing(
+def run_forever(
     step: Callable[[], object],
     wanted: Callable[[], bool] = always,
 ) -> None:
@@ -32,7 +32,7 @@
             gevent.sleep(FAILURE_PAUSE_S)
 
 
-def keep_doing_every(
+def run_every(
     pause_s: float,
     step: Callable[[], object],
     *,
@@ -48,4 +48,4 @@
         gevent.sleep(next(pauses))
         step()
 
-    keep_doing(wait_and_step)
+    run_forever(wait_and_step)
--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -6,7 +6,7 @@
 import gevent
 
 from cactusridge import events, logs, metrics
-from cactusridge.background import keep_doing
+from cactusridge.background import run_forever
 from cactusridge.batch.accounts import BatchAccounts
 from cactusridge.batch.held_span import HeldSpan
 from cactusridge.batch.item_runner import ItemRunner
@@ -67,8 +67,8 @@
 
     def start(self) -> None:
         """Start the greenlets that scan shards and place items."""
-        self._parts.greenlets.spawn(keep_doing, self._placer.step)
-        self._parts.greenlets.spawn(keep_doing, self._scan_and_pause)
+        self._parts.greenlets.spawn(run_forever, self._placer.step)
+        self._parts.greenlets.spawn(run_forever, self._scan_and_pause)
 
     def step(self) -> None:
         """Scan once and take spans up to the limit of held spans.
--- a/cactusridge/entry/app.py
+++ b/cactusridge/entry/app.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cactusridge import metrics
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.batch.driver import BatchDriver
 from cactusridge.batch.file_store import FileStore
 from cactusridge.batch.job_reader import JobReader
@@ -73,7 +73,7 @@
         self.parts.fleet.start()
         self.driver.start()
         self._every(self.cfg.settings_poll_s, self.follower.step)
-        self.parts.greenlets.spawn(keep_doing, self._strikes.step)
+        self.parts.greenlets.spawn(run_forever, self._strikes.step)
         self._every(self.cfg.strikes_poll_s, self._strike_poll.step)
         self._every(self.cfg.report_s, self.parts.recorder.flush)
         self._every(MERGE_CHECK_S, self._merge_hours)
@@ -136,4 +136,4 @@
         merge_due_hours(self._merger)
 
     def _every(self, pause_s: float, step: Callable[[], None]) -> None:
-        self.parts.greenlets.spawn(keep_doing_every, pause_s, step)
+        self.parts.greenlets.spawn(run_every, pause_s, step)
--- a/cactusridge/jobs/heads.py
+++ b/cactusridge/jobs/heads.py
@@ -57,7 +57,7 @@
             return
         self.update(head)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Remove the heads whose keys are not in ``keys``."""
         for known in (self._heads, self._unreadable):
             for job_id in list(known):
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -18,7 +18,7 @@
 import orjson
 
 from cactusridge import events, logs
-from cactusridge.background import keep_doing
+from cactusridge.background import run_forever
 from cactusridge.peers.audience import Audience
 from cactusridge.peers.cells import Cells
 from cactusridge.peers.load import NO_LOAD, Load, WorkKind
@@ -119,8 +119,8 @@
     def start(self) -> None:
         """Bind the socket and start the greenlets that send and receive."""
         self._sock.bind()
-        spawn(Part.peers_heard, keep_doing, self._receive)
-        spawn(Part.peers_told, keep_doing, self._send_periodically)
+        spawn(Part.peers_heard, run_forever, self._receive)
+        spawn(Part.peers_told, run_forever, self._send_periodically)
 
     def _send_periodically(self) -> None:
         """Wait one interval, then send the changed counts or all counts."""
--- a/cactusridge/platform/caller_app.py
+++ b/cactusridge/platform/caller_app.py
@@ -23,7 +23,7 @@
 from cactusridge.platform.errors import failure_reply
 from cactusridge.platform.job_calls import JobCalls
 from cactusridge.platform.operator import CatalogHolder
-from cactusridge.platform.started_stream import StartedStream
+from cactusridge.platform.started_stream import PrefetchedStream
 from cactusridge.store.table_follower import TableFollower
 
 # Retry-After, in seconds, of a process without a configuration. A process
@@ -121,7 +121,7 @@
 
     def _raise_no_route(self, call: CallerRequest) -> NoReturn:
         text = f'no route for {call.host}{call.path}'
-        if self._follower.silent_s() > CATALOG_STALE_S:
+        if self._follower.seconds_since_answer() > CATALOG_STALE_S:
             raise RouteUnsure(text, retry_after_s=STALE_RETRY_S)
         raise NotFound(text)
 
@@ -161,7 +161,7 @@
         if isinstance(answer.body, list):
             watch.stop()
             return Reply(answer.status, answer.headers, answer.body)
-        body_parts = StartedStream(self._watched(answer.body, watch))
+        body_parts = PrefetchedStream(self._watched(answer.body, watch))
         return Reply(answer.status, answer.headers, body_parts)
 
     def _watched(
--- a/cactusridge/platform/callers.py
+++ b/cactusridge/platform/callers.py
@@ -47,7 +47,7 @@
         """
         self._holder = holder
         self._keys = KeyCheck(
-            lease, lambda: follower.silent_s() > CATALOG_STALE_S
+            lease, lambda: follower.seconds_since_answer() > CATALOG_STALE_S
         )
         self._limiter = limiter
 
--- a/cactusridge/platform/catalog_peers.py
+++ b/cactusridge/platform/catalog_peers.py
@@ -38,7 +38,7 @@
         """Respond with the configuration in force, as JSON."""
         return json_reply(self._holder.raw)
 
-    def heard(self, peer: tuple[str, int], version: int) -> None:
+    def on_peer_version(self, peer: tuple[str, int], version: int) -> None:
         """Fetch the configuration of ``peer`` if ``version`` is newer."""
         if version > self.version() and not self._fetching:
             self._fetching = True
@@ -63,7 +63,7 @@
             )
             return
         before = self.version()
-        self._holder.take(raw, str(peer), version)
+        self._holder.apply(raw, str(peer), version)
         if self.version() > before:
             logs.emit(
                 events.SETTINGS_FROM_PEER,
--- a/cactusridge/platform/connections.py
+++ b/cactusridge/platform/connections.py
@@ -73,7 +73,7 @@
         self._clock = clock
         self._idle: dict[str, collections.deque[IdleConnection]] = {}
 
-    def take(self, incarnation: str, address: Address) -> socket.socket:
+    def acquire(self, incarnation: str, address: Address) -> socket.socket:
         """Return an idle or a new connection; raise ConnectFailed."""
         kept = self._idle.get(incarnation)
         while kept:
@@ -94,7 +94,7 @@
             raise ConnectFailed(f'{address}: {exc!r}') from exc
         return sock
 
-    def give_back(
+    def release(
         self,
         incarnation: str,
         sock: socket.socket,
@@ -113,7 +113,7 @@
         for idle in self._idle.pop(incarnation, ()):
             idle.sock.close()
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections whose idle time has expired."""
         now = self._clock.monotonic()
         for incarnation, kept in list(self._idle.items()):
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -17,7 +17,7 @@
 # store. Replicas whose entries expired in the outage register again within
 # about two seconds of its end; this process reads the entries within another
 # half second.
-LAPSED_GRACE_S = 2.5
+EXPIRED_GRACE_S = 2.5
 
 
 class Discovery(TableListener):
@@ -33,14 +33,14 @@
         # when the whole list is read again.
         self._applied_versions: dict[str, int] = {}
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Start a grace period at ``since``, the end of a store outage.
 
         Replicas whose entries expired during the outage kept running. If
         they were dropped, every request would be refused until they have
         registered again.
         """
-        self._grace_until = since + LAPSED_GRACE_S
+        self._grace_until = since + EXPIRED_GRACE_S
         logs.emit(events.LAPSED_KEPT, replicas=len(self._fleet.ids()))
         self._drop_missing()
 
@@ -56,9 +56,9 @@
         """
         if self._clock.monotonic() >= self._grace_until:
             return
-        if since + LAPSED_GRACE_S < self._grace_until:
+        if since + EXPIRED_GRACE_S < self._grace_until:
             logs.emit(events.GRACE_SHORTENED, missing=len(self._missing_keys))
-            self._grace_until = since + LAPSED_GRACE_S
+            self._grace_until = since + EXPIRED_GRACE_S
             self._drop_missing()
 
     def put(self, row: Row) -> None:
@@ -69,7 +69,7 @@
             self._applied_versions[row.key] = row.version
             self._apply(row)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Drop the replicas whose keys are not among ``keys``."""
         for key in self._applied_versions.keys() - keys:
             self._drop(key)
--- a/cactusridge/platform/job_parts.py
+++ b/cactusridge/platform/job_parts.py
@@ -3,7 +3,7 @@
 import gevent
 
 from cactusridge import events, logs
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.clock import Clock
 from cactusridge.dispatch.policies import make_cell_rule
 from cactusridge.dispatch.run import Runner
@@ -117,16 +117,16 @@
         # after a restart of all entries the requests arrive immediately.
         spawn(
             Part.session,
-            keep_doing_every,
+            run_every,
             RENEW_INTERVAL_S,
             self.session.renew_and_read,
             at_once=True,
         )
-        spawn(Part.jobs, keep_doing_every, ORPHAN_POLL_S, self.manager.poll)
-        spawn(Part.scheduler, keep_doing, self.scheduler.step)
+        spawn(Part.jobs, run_every, ORPHAN_POLL_S, self.manager.poll)
+        spawn(Part.scheduler, run_forever, self.scheduler.step)
         spawn(
             Part.jobs,
-            keep_doing_every,
+            run_every,
             REMOVAL_POLL_S,
             self._janitor.remove_expired,
         )
--- a/cactusridge/platform/key_keeper.py
+++ b/cactusridge/platform/key_keeper.py
@@ -2,7 +2,7 @@
 
 import gevent
 
-from cactusridge.background import keep_doing_every
+from cactusridge.background import run_every
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
 from cactusridge.organisations.key_lease import KeyLease
@@ -66,12 +66,8 @@
     def start(self) -> None:
         """Check the lease periodically, in one greenlet for each source."""
         if self._lease.expires:
-            gevent.spawn(
-                keep_doing_every, CHECK_PERIOD_S, self.renew_from_store
-            )
-            gevent.spawn(
-                keep_doing_every, CHECK_PERIOD_S, self.renew_from_peers
-            )
+            gevent.spawn(run_every, CHECK_PERIOD_S, self.renew_from_store)
+            gevent.spawn(run_every, CHECK_PERIOD_S, self.renew_from_peers)
 
     def renew_from_store(self) -> None:
         """Read the configuration from the store if the lease is old."""
@@ -84,7 +80,7 @@
             # The watch logs the failure and retries.
             return
         self._holder.put(row)
-        self._holder.confirmed(started_at, whole=True)
+        self._holder.up_to_date(started_at, whole=True)
 
     def renew_from_peers(self) -> None:
         """Renew an old lease from a peer with the same version."""
--- a/cactusridge/platform/limit_parts.py
+++ b/cactusridge/platform/limit_parts.py
@@ -2,7 +2,7 @@
 
 import gevent
 
-from cactusridge.background import keep_doing_every
+from cactusridge.background import run_every
 from cactusridge.clock import Clock
 from cactusridge.http.client import Address
 from cactusridge.jobs.session import Membership
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Update the owner entries periodically, even without requests."""
         self._session.on_read(self.owners.update)
-        gevent.spawn(keep_doing_every, UPDATE_INTERVAL_S, self.owners.update)
+        gevent.spawn(run_every, UPDATE_INTERVAL_S, self.owners.update)
 
     def _candidates(self) -> list[Candidate]:
         """Return the live members; none until the membership list was read."""
--- a/cactusridge/platform/objects.py
+++ b/cactusridge/platform/objects.py
@@ -26,7 +26,9 @@
 
         Raises StoreUnavailable.
         """
-        answer = self._link.ask('PUT', _path('put', name), body, priority)
+        answer = self._link.call_with_retry(
+            'PUT', _path('put', name), body, priority
+        )
         if answer.status != HTTPStatus.OK:
             raise _failure(answer.status)
 
@@ -41,7 +43,9 @@
 
         Raises NotFound or StoreUnavailable.
         """
-        answer = self._link.ask('GET', _path('get', name), b'', priority)
+        answer = self._link.call_with_retry(
+            'GET', _path('get', name), b'', priority
+        )
         if answer.status == HTTPStatus.NOT_FOUND:
             raise NotFound(f'no object {name}')
         if answer.status != HTTPStatus.OK:
@@ -50,7 +54,7 @@
 
     def drop(self, name: str, priority: Priority) -> None:
         """Remove an object; repeating the call is harmless."""
-        self._link.ask('DELETE', _path('drop', name), b'', priority)
+        self._link.call_with_retry('DELETE', _path('drop', name), b'', priority)
 
     def names(self, prefix: str, after: str = '') -> list[str]:
         """Return the next page of sorted names below ``prefix``.
@@ -59,7 +63,7 @@
         """
         query = urlencode({'path_prefix': prefix, 'after': after})
         path = f'/api/blob-list?{query}'
-        answer = self._link.ask('GET', path, b'', Priority.report)
+        answer = self._link.call_with_retry('GET', path, b'', Priority.report)
         if answer.status != HTTPStatus.OK:
             raise _failure(answer.status)
         try:
--- a/cactusridge/platform/operator.py
+++ b/cactusridge/platform/operator.py
@@ -60,13 +60,13 @@
         self._row_version = row.version
         self._row_readable = False
         if row.unreadable:
-            self._reports.note(
+            self._reports.report_once(
                 KEY, row.version, 'the value is not a JSON object'
             )
         elif row.value is not None:
-            self._row_readable = self.take(row.value, KEY, row.version)
+            self._row_readable = self.apply(row.value, KEY, row.version)
 
-    def take(
+    def apply(
         self,
         raw: Any,
         source: str = '',
@@ -81,7 +81,7 @@
         try:
             catalog = decode(raw)
         except UnreadableField as exc:
-            self._reports.note(source, source_version, str(exc))
+            self._reports.report_once(source, source_version, str(exc))
             return False
         if catalog.version <= self.catalog.version:
             return True
@@ -95,7 +95,7 @@
         )
         return True
 
-    def confirmed(self, begun_at: float, whole: bool) -> None:
+    def up_to_date(self, begun_at: float, whole: bool) -> None:
         """Renew the lease on keys unless the row is unreadable.
 
         An unreadable row may have removed keys.
@@ -107,7 +107,7 @@
         else:
             self._keys.renew_from_watch(begun_at)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Do nothing: a configuration stays in force without its row."""
 
 
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -5,7 +5,7 @@
 import gevent
 
 from cactusridge import events, logs, metrics
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.clock import BootClock
 from cactusridge.dispatch.online import OnlineDispatcher
 from cactusridge.dispatch.policies import make_outliers, make_policies
@@ -162,16 +162,16 @@
             ),
         )
         for follower in followers:
-            spawn(Part.feeds, keep_doing, follower.step)
-        spawn(Part.feeds, keep_doing, self._strikes.store.step)
+            spawn(Part.feeds, run_forever, follower.step)
+        spawn(Part.feeds, run_forever, self._strikes.store.step)
         self._jobs.start()
-        trim = self._upstream.connections.trim
-        gevent.spawn(keep_doing_every, TRIM_PERIOD_S, trim)
+        close_expired = self._upstream.connections.close_expired
+        gevent.spawn(run_every, TRIM_PERIOD_S, close_expired)
         self._limits.start()
         self._lease_renewer.start()
         METER.start()
         report = WorkReport(METER, self._jobs.scheduler.depths)
-        gevent.spawn(keep_doing, report.step)
+        gevent.spawn(run_forever, report.step)
         self._serve_at(self._cfg.metrics_listen, '/metrics', metrics.serve)
         serve_catalog = self._catalogs.serve
         self._serve_at(self._cfg.peer_listen, CATALOG_PATH, serve_catalog)
@@ -196,11 +196,11 @@
         return EntryStatus(
             self._catalogs.version(),
             not self._store.lost,
-            self._store.contact.lasts_s(),
+            self._store.contact.uptime_s(),
         )
 
     def _receive_status(self, peer: Target, word: EntryStatus) -> None:
-        self._catalogs.heard(peer, word.version)
+        self._catalogs.on_peer_version(peer, word.version)
         self._jobs.intake.record_peer_report(word.has_store)
         if word.has_store:
             now = self._clock.monotonic()
--- a/cactusridge/platform/row_codec.py
+++ b/cactusridge/platform/row_codec.py
@@ -47,13 +47,13 @@
     rows, unnamed = [], []
     for entry in entries:
         try:
-            rows.append(row_in(entry))
+            rows.append(parse_row(entry))
         except UnreadableField:
             unnamed.append(entry)
     return rows, unnamed
 
 
-def row_in(entry: Any) -> Row:
+def parse_row(entry: Any) -> Row:
     """Return the row of an entry; raise UnreadableField without a key.
 
     A row with a key whose version or value cannot be decoded is returned as
@@ -68,7 +68,7 @@
     if removed in (True, False, None):
         if removed or (packed is None and version == ABSENT):
             return Row(key, None, version)
-        held = unpacked(packed)
+        held = unpack(packed)
         return Row(key, held, version, unreadable=held is None)
     return Row(key, None, version, unreadable=True)
 
@@ -83,7 +83,7 @@
     return '/'.join(key_parts)
 
 
-def unpacked(packed: Any) -> dict[str, Any] | None:
+def unpack(packed: Any) -> dict[str, Any] | None:
     """Return a value from base64 JSON; None if it cannot be decoded."""
     try:
         held = wire.decode(binascii.a2b_base64(packed, strict_mode=True))
--- a/cactusridge/platform/rows.py
+++ b/cactusridge/platform/rows.py
@@ -121,7 +121,7 @@
         }
         path = f'/api/rows-feed?{urlencode(query)}'
         METER.steps['feeds_asked'] += 1
-        answer = self.feeds.ask('GET', path, b'', Priority.lease)
+        answer = self.feeds.call_with_retry('GET', path, b'', Priority.lease)
         if answer.status == HTTPStatus.GONE:
             raise HistoryLost
         found = self._answer(_fields(answer))
@@ -183,7 +183,7 @@
     def _get(self, query: dict[str, Any], priority: Priority) -> '_Page':
         path = f'/api/rows-get?{urlencode(query)}'
         METER.steps['rows_read'] += 1
-        fields = _fields(self.link.ask('GET', path, b'', priority))
+        fields = _fields(self.link.call_with_retry('GET', path, b'', priority))
         try:
             more = fields.flag('has_more')
             now_ms = fields.number('now_ms', None)
@@ -196,7 +196,9 @@
     def _answer(self, fields: Fields) -> Answer:
         found = parse_answer(fields)
         for entry in found.unnamed:
-            self._reports.note(repr(entry)[:MAX_SHOWN], ABSENT, 'invalid key')
+            self._reports.report_once(
+                repr(entry)[:MAX_SHOWN], ABSENT, 'invalid key'
+            )
         return found
 
 
--- a/cactusridge/platform/started_stream.py
+++ b/cactusridge/platform/started_stream.py
@@ -3,7 +3,7 @@
 from collections.abc import Generator, Iterator
 
 
-class StartedStream:
+class PrefetchedStream:
     """Yields the parts of a stream; the constructor reads the first one.
 
     An error before the first part is raised from the constructor, while an
--- a/cactusridge/platform/upstream.py
+++ b/cactusridge/platform/upstream.py
@@ -113,9 +113,7 @@
             return
         stated = self._parser.get('Keep-Alive', '')
         keep_s = idle_limit_s(str(stated))
-        self._connections.give_back(
-            self._replica.incarnation, self._sock, keep_s
-        )
+        self._connections.release(self._replica.incarnation, self._sock, keep_s)
 
     def abort(self) -> None:
         """Shut the connection down; a greenlet that reads it sees its end."""
@@ -206,7 +204,9 @@
         if new_connection:
             sock = self.connections.connect(replica.address)
         else:
-            sock = self.connections.take(replica.incarnation, replica.address)
+            sock = self.connections.acquire(
+                replica.incarnation, replica.address
+            )
         exchange = HttpExchange(replica, req, sock, self.connections)
         try:
             exchange.start(raw)
--- a/cactusridge/quarantine/strike_poll.py
+++ b/cactusridge/quarantine/strike_poll.py
@@ -25,7 +25,7 @@
         except StoreUnavailable as exc:
             logs.emit(events.STRIKES_UNSAVED, error=str(exc))
             return
-        self._store.keep_only({row.key for row in rows})
+        self._store.retain({row.key for row in rows})
         for row in rows:
             # The reader logs an unreadable row; the other rows are still used.
             with contextlib.suppress(UnreadableRecord):
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -82,7 +82,7 @@
             # after its removal.
             self._save([Write(row.key, None)])
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Discard the strikes whose rows no longer exist."""
         self._forget(self._stored.keys() - keys)
 
--- a/cactusridge/settings/tree.py
+++ b/cactusridge/settings/tree.py
@@ -144,7 +144,7 @@
                 on_change(path)
             except Exception as fault:
                 # What one cannot take costs it that path alone.
-                self._failures.note(path, self.version, repr(fault))
+                self._failures.report_once(path, self.version, repr(fault))
 
 
 def _node(raw: Any, version: int) -> Node:
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -9,7 +9,7 @@
 from gevent.pool import Group
 
 from cactusridge import events, logs
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.errors import StoreUnavailable
 from cactusridge.http.awake import listening_clock
 from cactusridge.http.client import Address, parse_address
@@ -62,7 +62,7 @@
         # The clock must not stop between probes, because the silence of a
         # sidecar is measured from one of its answers to the next.
         self._clock.hold()
-        self._spawn(keep_doing_every, self.cfg.hosts_poll_s, self.refresh)
+        self._spawn(run_every, self.cfg.hosts_poll_s, self.refresh)
 
     def now(self) -> float:
         """Return the time in seconds on the clock that dates the reports."""
@@ -157,7 +157,7 @@
         self._sidecars[host.address] = found
         logs.emit(events.REPLICA_FOUND, host=str(host.address))
         self._spawn(
-            keep_doing,
+            run_forever,
             functools.partial(self._probe, found),
             functools.partial(self._is_tracked, found),
         )
--- a/cactusridge/store/contact.py
+++ b/cactusridge/store/contact.py
@@ -35,7 +35,7 @@
         self.since = min(self.since, now)
         self._heard_at = now
 
-    def lasts_s(self) -> float:
+    def uptime_s(self) -> float:
         """Return for how long there has been no outage; 0 during one."""
         now = self._clock.monotonic()
         if now - self._heard_at > AWAY_S:
--- a/cactusridge/store/host_list.py
+++ b/cactusridge/store/host_list.py
@@ -57,7 +57,9 @@
     def hosts(self) -> list[Host]:
         """Return the hosts; the list is sent again only when changed."""
         headers = {'If-None-Match': self._tag} if self._tag else None
-        answer = self.link.ask('GET', '/hosts', b'', Priority.lease, headers)
+        answer = self.link.call_with_retry(
+            'GET', '/hosts', b'', Priority.lease, headers
+        )
         if answer.status == HTTPStatus.NOT_MODIFIED:
             return self._known
         try:
--- a/cactusridge/store/http_table.py
+++ b/cactusridge/store/http_table.py
@@ -100,7 +100,7 @@
         priority: Priority,
     ) -> list[Row]:
         raw = wire.encode(message)
-        answer = self.link.ask('POST', path, raw, priority)
+        answer = self.link.call_with_retry('POST', path, raw, priority)
         try:
             found = parse_reply(RowsReply, answer.body).rows
         except UnreadableReply as exc:
@@ -108,5 +108,5 @@
         rows = list(rows_in(found))
         if len(rows) != len(found):
             lost = len(found) - len(rows)
-            self._reports.note(path, lost, f'{lost} entries name no key')
+            self._reports.report_once(path, lost, f'{lost} entries name no key')
         return rows
--- a/cactusridge/store/link.py
+++ b/cactusridge/store/link.py
@@ -81,7 +81,7 @@
         metrics.STORE_CALLS.inc({'outcome': 'answered'})
         return answer
 
-    def ask(
+    def call_with_retry(
         self,
         method: str,
         path: str,
--- a/cactusridge/store/listeners.py
+++ b/cactusridge/store/listeners.py
@@ -23,15 +23,15 @@
                 listener.put(row)
                 return
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Tell each listener which of its rows there are."""
         left = set(keys)
         for prefix, listener in self._by_prefix.items():
             own = {key for key in left if key.startswith(prefix)}
             left -= own
-            listener.keep_only(own)
+            listener.retain(own)
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Tell each listener that the store answers again."""
         for listener in self._by_prefix.values():
-            listener.regained(since)
+            listener.store_recovered(since)
--- a/cactusridge/store/object_store.py
+++ b/cactusridge/store/object_store.py
@@ -83,7 +83,7 @@
 
     def drop(self, name: str, priority: Priority) -> None:
         """Remove an object; repeating it is harmless."""
-        self.link.ask('DELETE', f'/objects/{name}', b'', priority)
+        self.link.call_with_retry('DELETE', f'/objects/{name}', b'', priority)
 
     def names(self, prefix: str, after: str = '') -> list[str]:
         """Return a page of sorted names below ``prefix``."""
@@ -100,7 +100,7 @@
         headers: dict[str, str],
         priority: Priority,
     ) -> bytes | None:
-        answer = self.link.ask('GET', path, b'', priority, headers)
+        answer = self.link.call_with_retry('GET', path, b'', priority, headers)
         if answer.status == NOT_FOUND:
             return None
         if answer.status not in FOUND:
--- a/cactusridge/store/row_reader.py
+++ b/cactusridge/store/row_reader.py
@@ -61,7 +61,7 @@
 
     def report(self, row: Row, error: str) -> None:
         """Log a row that is left out."""
-        self._reports.note(row.key, row.version, error)
+        self._reports.report_once(row.key, row.version, error)
 
     def refuse(self, row: Row, error: str) -> NoReturn:
         """Log a row and raise UnreadableRecord."""
--- a/cactusridge/store/row_reports.py
+++ b/cactusridge/store/row_reports.py
@@ -25,7 +25,7 @@
         self._event = event
         self._known: OrderedDict[str, int] = OrderedDict()
 
-    def note(self, key: str, version: int, error: str) -> None:
+    def report_once(self, key: str, version: int, error: str) -> None:
         """Log a row unless this very version of it was logged."""
         if self._known.get(key) == version:
             return
--- a/cactusridge/store/table_follower.py
+++ b/cactusridge/store/table_follower.py
@@ -40,10 +40,10 @@
         """
 
     @abc.abstractmethod
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Forget every row whose key is not among ``keys``."""
 
-    def confirmed(self, begun_at: float, whole: bool) -> None:
+    def up_to_date(self, begun_at: float, whole: bool) -> None:
         """Note that everything that was told of the table is taken in.
 
         ``begun_at`` is when the reading of it was begun, on the process's
@@ -51,7 +51,7 @@
         been answered, maybe without news.
         """
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Note that the store answers again after an outage.
 
         ``since`` is when its first answer came, on the process's clock.
@@ -89,7 +89,7 @@
         self._unreadable = RowReports()
         self._failures = RowReports(events.LISTENER_FAILED)
 
-    def silent_s(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Return the seconds for which the store has told nothing."""
         if self.heard_at is None:
             return float('inf')
@@ -126,7 +126,7 @@
             self._tell(
                 self._table,
                 found.version,
-                lambda: self._listener.keep_only(keys),
+                lambda: self._listener.retain(keys),
             )
         for row in found.rows:
             self._put(row)
@@ -134,7 +134,7 @@
         self._tell(
             self._table,
             found.version,
-            lambda: self._listener.confirmed(now, whole),
+            lambda: self._listener.up_to_date(now, whole),
         )
 
     def _tell_of_outage(self) -> None:
@@ -146,7 +146,7 @@
         self._tell(
             self._table,
             ABSENT,
-            lambda: self._listener.regained(since),
+            lambda: self._listener.store_recovered(since),
         )
 
     def _put(self, row: Row) -> None:
@@ -162,9 +162,9 @@
         try:
             say()
         except UnreadableRecord as exc:
-            self._unreadable.note(key, version, str(exc))
+            self._unreadable.report_once(key, version, str(exc))
         except Exception as fault:
-            self._failures.note(key, version, repr(fault))
+            self._failures.report_once(key, version, repr(fault))
 
     def _rest(self) -> None:
         gevent.sleep(self._pause_s * self._rng.uniform(0.5, 1))
--- a/tests/discovery_case.py
+++ b/tests/discovery_case.py
@@ -81,7 +81,7 @@
 
     def back(self):
         """Let the store be back after an outage, this very moment."""
-        self.list.regained(self.clock.monotonic())
+        self.list.store_recovered(self.clock.monotonic())
 
     def put(self, replica_id, entry, **changes):
         """Let the list hold an entry; return its row."""
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -3,7 +3,7 @@
 from cactusridge import wire
 from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
-from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
+from cactusridge.platform.discovery import EXPIRED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
 from standins.machines.spoiled import SPOILED
 from tests.discovery_case import BORN, UNTOLD, DiscoveryCase, row_of
@@ -31,7 +31,7 @@
     def begin(self):
         """Start with an empty list."""
         self.setUp()
-        self.naive = NaiveList(LAPSED_GRACE_S)
+        self.naive = NaiveList(EXPIRED_GRACE_S)
         self.ends = Ends()
         self.fleet.add_incarnation_listener(self.ends)
         # The version and the payload of each row by replica id; the payload of
@@ -71,7 +71,7 @@
             for replica_id, row in self.store.items()
             if row[1] is not None
         }
-        self.list.keep_only({f'{PREFIX}{each}' for each in there})
+        self.list.retain({f'{PREFIX}{each}' for each in there})
         for replica_id, (version, payload) in there.items():
             self.list.put(self.row(replica_id, version, payload))
         self.naive.whole(
@@ -91,7 +91,7 @@
     def away(self):
         """End an outage of the store."""
         self.pending = {}
-        self.list.regained(self.clock.monotonic())
+        self.list.store_recovered(self.clock.monotonic())
         self.naive.regained()
         self.whole()
 
--- a/tests/scripted_link.py
+++ b/tests/scripted_link.py
@@ -28,7 +28,7 @@
             return self.answers.pop(0)
         return self.answers[0]
 
-    def ask(self, method, path, body, priority, headers=None):
+    def call_with_retry(self, method, path, body, priority, headers=None):
         """Return the next answer."""
         return self.call(method, path, body, priority, headers)
 
--- a/tests/scripted_watch.py
+++ b/tests/scripted_watch.py
@@ -42,6 +42,6 @@
         """Keep a row."""
         self.rows[row.key] = row
 
-    def keep_only(self, keys):
+    def retain(self, keys):
         """Forget the others."""
         self.rows = {key: row for key, row in self.rows.items() if key in keys}
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -5,7 +5,7 @@
 import gevent
 from nose2.tools import params
 
-from cactusridge.background import keep_doing_every
+from cactusridge.background import run_every
 
 # Far longer than the test takes.
 PAUSE_S = 1000
@@ -19,7 +19,7 @@
         """At once where that is asked for, else after a pause."""
         steps = []
         doing = gevent.spawn(
-            keep_doing_every,
+            run_every,
             PAUSE_S,
             lambda: steps.append(1),
             at_once=at_once,
@@ -31,7 +31,7 @@
     def test_failed_first_step(self):
         """A first step that fails ends nothing."""
         doing = gevent.spawn(
-            keep_doing_every,
+            run_every,
             PAUSE_S,
             lambda: int('no number'),
             at_once=True,
--- a/tests/test_catalog_peers.py
+++ b/tests/test_catalog_peers.py
@@ -21,7 +21,7 @@
     def setUp(self):
         """Serve the configuration of a peer that has version 7."""
         holder = CatalogHolder(KeyLease(ManualClock(), None))
-        holder.take(NEWER)
+        holder.apply(NEWER)
         served = CatalogPeers(holder)
         app = App([route('GET', CATALOG_PATH, served.serve)], 1024, 1)
         self.server = Server(('127.0.0.1', 0), app, 5)
@@ -33,12 +33,12 @@
 
     def test_newer_is_fetched(self):
         """An entry that the store turns away gets version 7."""
-        self.catalogs.heard(self.peer, 7)
+        self.catalogs.on_peer_version(self.peer, 7)
         wait_for('version 7', lambda: self.holder.catalog.version == 7)
 
     def test_older_is_not(self):
         """A peer that is behind is not asked."""
-        self.holder.take({**NEWER, 'version': 9})
-        self.catalogs.heard(self.peer, 7)
+        self.holder.apply({**NEWER, 'version': 9})
+        self.catalogs.on_peer_version(self.peer, 7)
         gevent.sleep(0.5)
         self.assertEqual(9, self.catalogs.version())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -3,7 +3,7 @@
 from nose2.tools import params
 
 from cactusridge import events
-from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
+from cactusridge.platform.discovery import EXPIRED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
 from standins.machines.spoiled import SPOILED
 from tests.discovery_case import BORN, ENTRY, DiscoveryCase
@@ -38,7 +38,7 @@
         """Reading an unreadable entry again logs it only once a version."""
         row = self.spoil('i-0', how)
         for _ in range(3):
-            self.list.keep_only({f'{PREFIX}i-0', f'{PREFIX}i-1'})
+            self.list.retain({f'{PREFIX}i-0', f'{PREFIX}i-1'})
             self.list.put(row)
         self.assertEqual(1, self.logged(events.HOST_UNREADABLE))
         self.spoil('i-0', how)
@@ -105,7 +105,7 @@
         self.back()
         self.remove('i-0')
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
-        self.clock.advance(LAPSED_GRACE_S)
+        self.clock.advance(EXPIRED_GRACE_S)
         self.remove('i-0')
         self.assertEqual({'i-1'}, self.in_choice())
         self.assertEqual(0, self.logged(events.HOST_UNREADABLE))
@@ -123,21 +123,21 @@
     def test_one_comes_back(self):
         """A replica that registers within the grace stays; the other goes."""
         self.back()
-        self.list.keep_only(set())
+        self.list.retain(set())
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
         self.put('i-0', ENTRY)
-        self.advance(LAPSED_GRACE_S)
+        self.advance(EXPIRED_GRACE_S)
         self.assertEqual({'i-0'}, self.in_choice())
 
     def test_away_again(self):
         """A second outage starts another full grace period."""
         self.back()
-        self.advance(LAPSED_GRACE_S - 0.5)
+        self.advance(EXPIRED_GRACE_S - 0.5)
         self.back()
         self.remove('i-0')
         self.advance(1)
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
-        self.advance(LAPSED_GRACE_S)
+        self.advance(EXPIRED_GRACE_S)
         self.assertEqual({'i-1'}, self.in_choice())
 
     @params('no zone', 'nothing')
@@ -153,7 +153,7 @@
         self.back()
         self.remove('i-0')
         self.put('i-0', ENTRY, born=BORN + 1)
-        self.advance(LAPSED_GRACE_S)
+        self.advance(EXPIRED_GRACE_S)
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
 
     @params(
@@ -161,14 +161,14 @@
         # the store all the time.
         (100, 0),
         # All entries lost the store, and the peers got it back earlier.
-        (1, LAPSED_GRACE_S - 1),
+        (1, EXPIRED_GRACE_S - 1),
         # All entries lost the store, and this entry got it back first.
-        (0, LAPSED_GRACE_S),
+        (0, EXPIRED_GRACE_S),
     )
     def test_peers_had_the_store(self, store_uptime_s, grace_s):
         """The grace period starts at the store's earliest return to a peer."""
         self.back()
-        self.list.keep_only({f'{PREFIX}i-0'})
+        self.list.retain({f'{PREFIX}i-0'})
         self.list.shorten_grace(self.clock.monotonic() - store_uptime_s)
         self.advance(max(0, grace_s - 0.01))
         self.assertEqual(
@@ -181,7 +181,7 @@
         """A report of a peer before the outage ends shortens no grace."""
         self.list.shorten_grace(self.clock.monotonic() - 100)
         self.back()
-        self.list.keep_only(set())
+        self.list.retain(set())
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
 
     def test_leaves_after_a_peers_word(self):
@@ -195,9 +195,9 @@
         """The grace starts at the store's return, not when the list is read."""
         since = self.clock.monotonic()
         self.advance(1)
-        self.list.regained(since)
-        self.list.keep_only(set())
-        self.advance(LAPSED_GRACE_S - 1)
+        self.list.store_recovered(since)
+        self.list.retain(set())
+        self.advance(EXPIRED_GRACE_S - 1)
         self.assertEqual(set(), self.in_choice())
 
     def test_former_life_while_missing(self):
@@ -206,5 +206,5 @@
         self.remove('i-0')
         self.put('i-0', ENTRY, born=BORN - 1)
         self.assertEqual({'i-0', 'i-1'}, self.in_choice())
-        self.advance(LAPSED_GRACE_S)
+        self.advance(EXPIRED_GRACE_S)
         self.assertEqual({'i-1'}, self.in_choice())
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -123,13 +123,13 @@
         self.lease = KeyLease(self.clock, LEASE_DURATION_S)
         self.holder = CatalogHolder(self.lease)
         self.holder.put(Row(KEY, SOUND, 7))
-        self.holder.confirmed(50, whole=True)
+        self.holder.up_to_date(50, whole=True)
 
     def test_no_key_is_kept(self):
         """The catalog sent to peers contains digests instead of keys."""
         self.assertNotIn('k1', str(self.holder.raw))
         peer = CatalogHolder(KeyLease(self.clock, None))
-        peer.take(self.holder.raw)
+        peer.apply(self.holder.raw)
         found = peer.catalog.organisations.by_digest(key_digest('k1'))
         self.assertEqual(ONE, found)
 
@@ -137,17 +137,17 @@
         """An unreadable row may revoke keys, so it stops all renewals."""
         self.clock.advance(3)
         self.holder.put(Row(KEY, {'version': 'x'}, 8))
-        self.holder.confirmed(53, whole=True)
+        self.holder.up_to_date(53, whole=True)
         self.clock.advance(2)
         self.assertFalse(self.lease.valid)
         self.holder.put(Row(KEY, {**SOUND, 'version': 4}, 9))
-        self.holder.confirmed(55, whole=True)
+        self.holder.up_to_date(55, whole=True)
         self.assertTrue(self.lease.valid)
 
     def test_from_a_peer(self):
         """A catalog received from a peer does not renew the lease."""
         self.clock.advance(LEASE_DURATION_S)
-        self.holder.take({**SOUND, 'version': 5}, 'peer', 5)
+        self.holder.apply({**SOUND, 'version': 5}, 'peer', 5)
         self.assertEqual(5, self.holder.catalog.version)
         self.assertFalse(self.lease.valid)
 
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -124,14 +124,14 @@
         """Idle connections are closed and not used for the next incarnation."""
         kept, fresh, late = (mock.Mock() for _ in range(3))
         address = Address('127.0.0.1', 8000)
-        self.connections.give_back(OLD, kept, 5)
+        self.connections.release(OLD, kept, 5)
         self.reborn()
         kept.close.assert_called_once_with()
-        self.connections.give_back(OLD, late, 5)
+        self.connections.release(OLD, late, 5)
         with mock.patch.object(self.connections, 'connect', lambda _: fresh):
-            self.assertIs(fresh, self.connections.take(NEW, address))
+            self.assertIs(fresh, self.connections.acquire(NEW, address))
         self.clock.advance(5)
-        self.connections.trim()
+        self.connections.close_expired()
         late.close.assert_called_once_with()
 
     def test_sharing(self):
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -18,7 +18,7 @@
 )
 
 
-def sent(request_id: str) -> dict[str, str]:
+def request_headers(request_id: str) -> dict[str, str]:
     """Return the headers of a request with four seconds left."""
     return {'X-Attempt-Id': request_id, 'X-Request-Deadline': '4000'}
 
@@ -63,7 +63,7 @@
 
     def check_served(self, request_id: str) -> None:
         """Check that a request succeeds."""
-        call = ('one', 'POST', '/on/', b'1', sent(request_id))
+        call = ('one', 'POST', '/on/', b'1', request_headers(request_id))
         self.assertEqual(200, self.site.call(*call)[0])
 
     def test_draining_gets_nothing(self):
@@ -79,7 +79,7 @@
         gevent.sleep(0.5)
         for number in range(8):
             found = self.site.call(
-                'one', 'POST', '/on/', b'1', sent(f'{number}')
+                'one', 'POST', '/on/', b'1', request_headers(f'{number}')
             )
             self.assertEqual(200, found[0])
         self.assertEqual([], self.site.replicas[0].targets)
@@ -92,7 +92,7 @@
         """
         for replica in self.site.replicas:
             replica.cut_after = [1]
-        call = ('one', 'POST', '/on/', b'2 0.01', sent('cut'))
+        call = ('one', 'POST', '/on/', b'2 0.01', request_headers('cut'))
         self.assertEqual(502, self.site.call(*call)[0])
         self.assertEqual(1, self.runs('cut'))
 
@@ -101,7 +101,7 @@
         self.site.replicas[0].id = 'i-other'
         for number in range(8):
             found = self.site.call(
-                'one', 'POST', '/on/', b'1', sent(f'{number}')
+                'one', 'POST', '/on/', b'1', request_headers(f'{number}')
             )
             self.assertEqual(200, found[0])
         self.assertEqual([], self.site.replicas[0].targets)
@@ -114,12 +114,16 @@
             self.site.store.remove(('servers', '', replica.id))
         self.site.store.down = False
         gevent.sleep(1)
-        found = self.site.call('one', 'POST', '/on/', b'1', sent('r1'))
+        found = self.site.call(
+            'one', 'POST', '/on/', b'1', request_headers('r1')
+        )
         self.assertEqual(200, found[0])
         wait_for(
             'the replicas are dropped',
             lambda: (
-                self.site.call('one', 'POST', '/on/', b'1', sent('r2'))[0]
+                self.site.call(
+                    'one', 'POST', '/on/', b'1', request_headers('r2')
+                )[0]
                 == 503
             ),
             6,
@@ -146,7 +150,7 @@
             'POST',
             '/on/',
             b'20 0.1',
-            sent('r3'),
+            request_headers('r3'),
         )
         wait_for('it runs', lambda: self.runs('r3'))
         process = self.site.entries['one']
--- a/tests/test_machine_links.py
+++ b/tests/test_machine_links.py
@@ -10,7 +10,7 @@
 from cactusridge.jobs.session import MEMBER_LEASE_S
 from standins.waiting import wait_for
 from tests.machine_case import MachineCase
-from tests.test_machine_failures import sent
+from tests.test_machine_failures import request_headers
 
 # Time in seconds until an entry counts the store as unreachable: three failed
 # calls of at most a second each, and the pauses between them.
@@ -73,7 +73,7 @@
     def test_online_goes_on(self):
         """Online requests are served from the state known before the cut."""
         for number in range(5):
-            call = ('one', 'POST', '/on/', b'1', sent(f'r{number}'))
+            call = ('one', 'POST', '/on/', b'1', request_headers(f'r{number}'))
             self.assertEqual(200, self.site.call(*call)[0])
 
     def test_no_false_word_of_jobs(self):
@@ -112,13 +112,15 @@
         gevent.sleep(LEFT_S)
         names = [f'after{number}' for number in range(MANY)]
         for name in names:
-            found = self.site.call('one', 'POST', '/on/', b'1', sent(name))
+            found = self.site.call(
+                'one', 'POST', '/on/', b'1', request_headers(name)
+            )
             self.assertEqual(200, found[0])
         self.assertEqual([], [name for name in names if gone.runs[name]])
 
     def new_route_is_served(self):
         """Return whether the first entry serves the new route."""
-        call = ('one', 'POST', '/new/', b'1', sent('n'))
+        call = ('one', 'POST', '/new/', b'1', request_headers('n'))
         return self.site.call(*call)[0] == 200
 
 
@@ -171,7 +173,7 @@
                 'POST',
                 '/again/',
                 b'4 0.1',
-                sent(f'w{number}'),
+                request_headers(f'w{number}'),
             )
             for number in range(4)
         ]
@@ -183,12 +185,12 @@
     def test_kept_connections(self, path):
         """A repeatable request is sent again on a new connection."""
         self.silence_replicas()
-        call = ('one', 'POST', path, b'1', sent('r'))
+        call = ('one', 'POST', path, b'1', request_headers('r'))
         self.assertEqual(200, self.site.call(*call)[0])
 
     def test_running_stream(self):
         """A resumable stream continues over a new connection."""
-        call = ('one', 'POST', '/again/', b'10 0.1', sent('r'))
+        call = ('one', 'POST', '/again/', b'10 0.1', request_headers('r'))
         running = gevent.spawn(self.site.call, *call)
         wait_for('the request runs', lambda: self.runs('r'))
         self.silence_replicas()
--- a/tests/test_machine_lives.py
+++ b/tests/test_machine_lives.py
@@ -8,7 +8,7 @@
 
 from standins.waiting import wait_for
 from tests.machine_case import MachineCase
-from tests.test_machine_failures import sent
+from tests.test_machine_failures import request_headers
 
 REQUESTS_PER_REPLICA = 6
 LONG_STREAM = b'40 0.05'
@@ -23,7 +23,7 @@
     def call(self, path, request_id, body=b'1'):
         """Return the status of a call, or None if its response is cut off."""
         with contextlib.suppress(IncompleteRead):
-            headers = sent(request_id)
+            headers = request_headers(request_id)
             return self.site.call('one', 'POST', path, body, headers)[0]
 
     def reached(self):
--- a/tests/test_machine_path.py
+++ b/tests/test_machine_path.py
@@ -18,7 +18,7 @@
 OUTPUT = '\n'.join(f'e{number}' for number in range(1, EVENTS + 1))
 
 
-def sent(request_id: str) -> dict[str, str]:
+def request_headers(request_id: str) -> dict[str, str]:
     """Return the headers of a request with four seconds left."""
     return {'X-Attempt-Id': request_id, 'X-Request-Deadline': '4000'}
 
@@ -35,7 +35,7 @@
             'POST',
             '/on/a%2Fb/?q=%20&q=2',
             f'{EVENTS}'.encode(),
-            sent('r1'),
+            request_headers('r1'),
         )
         self.assertEqual((200, WHOLE), (status, body.decode()))
         self.assertTrue(headers['X-Response-Signature'].startswith('sig.i-'))
@@ -58,7 +58,7 @@
                 'POST',
                 path,
                 f'{EVENTS}'.encode(),
-                sent('r2'),
+                request_headers('r2'),
             )[2].decode()
         self.assertEqual(WHOLE if runs > 1 else None, found)
         self.assertEqual(runs, self.runs('r2'))
@@ -66,7 +66,9 @@
     @params((404, '/none/x'), (404, '/onx'))
     def test_no_route(self, status, target):
         """A request without a matching route is answered with 404."""
-        found = self.site.call('one', 'POST', target, b'1', sent('r3'))
+        found = self.site.call(
+            'one', 'POST', target, b'1', request_headers('r3')
+        )
         self.assertEqual(status, found[0])
 
     def test_spoiled_answer(self):
@@ -78,7 +80,7 @@
             'POST',
             '/on/',
             b'1',
-            sent('r4'),
+            request_headers('r4'),
         )
         self.assertEqual(502, status)
         self.assertNotIn(b'spoiled', body)
@@ -91,7 +93,9 @@
         (self.site.folder / 'one.yaml').write_text('role: [')
         process.send(signal.SIGHUP)
         wait_for('both are read', lambda: 'reload_refused' in process.tail())
-        found = self.site.call('one', 'POST', '/on/', b'1', sent('r7'))
+        found = self.site.call(
+            'one', 'POST', '/on/', b'1', request_headers('r7')
+        )
         self.assertEqual(200, found[0])
 
     def test_new_configuration(self):
@@ -102,12 +106,16 @@
         wait_for(
             'the new route',
             lambda: (
-                self.site.call('one', 'POST', '/new/', b'1', sent('r5'))[0]
+                self.site.call(
+                    'one', 'POST', '/new/', b'1', request_headers('r5')
+                )[0]
                 == 200
             ),
             3,
         )
-        found = self.site.call('one', 'POST', '/on/', b'1', sent('r6'))
+        found = self.site.call(
+            'one', 'POST', '/on/', b'1', request_headers('r6')
+        )
         self.assertEqual(404, found[0])
 
 
@@ -205,7 +213,7 @@
                 'POST',
                 '/on/',
                 b'5',
-                sent(f'o{number}'),
+                request_headers(f'o{number}'),
             )
             for number in range(6)
         ]
@@ -226,7 +234,9 @@
     )
     def test_bad_job(self, status, raw):
         """An invalid or too large submission is rejected."""
-        found = self.site.call('one', 'POST', '/lots/x', raw, sent('j6'))
+        found = self.site.call(
+            'one', 'POST', '/lots/x', raw, request_headers('j6')
+        )
         self.assertEqual(status, found[0])
 
     @params(
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -54,7 +54,7 @@
         rows = self.table.scan('jobs/', Priority.report)
         with emitted() as found:
             for _ in range(3):
-                heads.keep_only({row.key for row in rows})
+                heads.retain({row.key for row in rows})
                 for row in rows:
                     heads.put(row)
         self.assertEqual([events.ROW_UNREADABLE], found)
--- a/tests/test_spoilt_settings.py
+++ b/tests/test_spoilt_settings.py
@@ -127,7 +127,7 @@
         self.addCleanup(server.stop)
         catalogs = CatalogPeers(self.holder)
         with emitted() as found:
-            catalogs.heard(('127.0.0.1', server.server_port), 7)
+            catalogs.on_peer_version(('127.0.0.1', server.server_port), 7)
             wait_for('the question', lambda: asked)
             wait_for('its end', lambda: not catalogs._fetching)
         self.assertIn(events.SETTINGS_UNREADABLE, found)
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -18,7 +18,7 @@
         super().__init__()
         self.returns: list[float] = []
 
-    def regained(self, since):
+    def store_recovered(self, since):
         """Keep one."""
         self.returns.append(since)
 
@@ -88,9 +88,9 @@
     def test_before_the_first_answer(self):
         """The start of the process is no answer."""
         self.clock.advance(1)
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
         self.contact.answered()
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
 
     def test_in_an_outage_and_after_it(self):
         """It vouches for nothing, then for the time since."""
@@ -98,9 +98,9 @@
         for _ in range(3):
             self.clock.advance(1)
             self.contact.answered()
-        self.assertEqual(3, self.contact.lasts_s())
+        self.assertEqual(3, self.contact.uptime_s())
         self.clock.advance(AWAY_S + 1)
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
         self.contact.answered()
         self.clock.advance(1)
-        self.assertEqual(1, self.contact.lasts_s())
+        self.assertEqual(1, self.contact.uptime_s())
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -5,7 +5,7 @@
 import gevent
 from nose2.tools import params
 
-from cactusridge.background import keep_doing
+from cactusridge.background import run_forever
 from cactusridge.clock import ManualClock
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage, Strike
@@ -33,12 +33,12 @@
         self._table = table
         self.store = StrikeStore(table, PREFIX, self.suspects, clock, LEAST)
         self.suspects.add_listener(self.store)
-        self.writer = gevent.spawn(keep_doing, self.store.step)
+        self.writer = gevent.spawn(run_forever, self.store.step)
 
     def read(self) -> None:
         """Take in what is stored."""
         rows = self._table.scan(PREFIX, Priority.commit)
-        self.store.keep_only({row.key for row in rows})
+        self.store.retain({row.key for row in rows})
         for row in rows:
             self.store.put(row)
 
@@ -146,11 +146,11 @@
         """Keep the row's key."""
         self.told.append(row.key)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Keep the keys."""
         self.told.append(keys)
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Keep the time."""
         self.told.append(since)
 
@@ -164,8 +164,8 @@
         both = ListenersByPrefix({'t/a/': inner, 't/': outer})
         for key in ('t/a/1', 't/b/1', 'u/1'):
             both.put(Row(key, {}, 1))
-        both.keep_only({'t/a/1', 't/b/1'})
-        both.regained(5)
+        both.retain({'t/a/1', 't/b/1'})
+        both.store_recovered(5)
         self.assertEqual(['t/a/1', {'t/a/1'}, 5], inner.told)
         self.assertEqual(['t/b/1', {'t/b/1'}, 5], outer.told)
 
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -60,14 +60,14 @@
 
     def test_outage(self):
         """An outage changes nothing but the age of what is known."""
-        self.assertEqual(float('inf'), self.follower.silent_s())
+        self.assertEqual(float('inf'), self.follower.seconds_since_answer())
         self.watch.rows = [Row('t//a', {}, 1)]
         self.follower.step()
         self.clock.advance(3)
         self.watch.failures = [StoreUnavailable()]
         self.follower.step()
         self.assertEqual({'t//a'}, set(self.listener.rows))
-        self.assertEqual(3, self.follower.silent_s())
+        self.assertEqual(3, self.follower.seconds_since_answer())
 
 
 class FailingRows(Rows):
@@ -85,15 +85,15 @@
             raise self.failure
         super().put(row)
 
-    def keep_only(self, keys):
+    def retain(self, keys):
         """Forget the others, or fail."""
-        if self.failing == 'keep_only':
+        if self.failing == 'retain':
             raise self.failure
-        super().keep_only(keys)
+        super().retain(keys)
 
-    def regained(self, since):
+    def store_recovered(self, since):
         """Fail or not."""
-        if self.failing == 'regained':
+        if self.failing == 'store_recovered':
             raise self.failure
 
 
@@ -102,7 +102,7 @@
 
     @params(
         *itertools.product(
-            ('t//a', 't//b', 'keep_only', 'regained'),
+            ('t//a', 't//b', 'retain', 'store_recovered'),
             (StoreUnavailable(), KeyError('x'), AttributeError()),
         ),
     )
@@ -122,7 +122,7 @@
         self.assertEqual({'t//a', 't//b'} - {failing}, set(listener.rows))
         self.assertEqual(['all', 'after 1'], watch.asked)
         self.assertEqual([events.LISTENER_FAILED], found)
-        self.assertEqual(0, follower.silent_s())
+        self.assertEqual(0, follower.seconds_since_answer())
 
     def test_typed_failure(self):
         """A row that the listener refuses is told once a version."""
