--- a/cactusridge/batch/accounts.py
+++ b/cactusridge/batch/accounts.py
@@ -53,5 +53,7 @@
             logs.emit(events.REPORT_LATE, span=span.name, error=str(exc))
             return
         if items.bad:
-            logs.emit(events.ITEM_NOT_ONCE, span=span.name, items=items.bad)
+            logs.emit(
+                events.ITEM_RESULT_COUNT_WRONG, span=span.name, items=items.bad
+            )
         self._recorder.record_once(span.service, items)
--- a/cactusridge/batch/held_span.py
+++ b/cactusridge/batch/held_span.py
@@ -128,7 +128,7 @@
         self._write(
             lambda span: span._replace(holder='').forget_unfinished_starts()
         )
-        logs.emit(events.SPAN_HANDED_BACK, span=self.span.name)
+        logs.emit(events.SPAN_LEASE_RELEASED, span=self.span.name)
 
     def close(self, cancelled: bool) -> None:
         """Move the span to the closed spans and count it in the progress.
--- a/cactusridge/batch/span_runner.py
+++ b/cactusridge/batch/span_runner.py
@@ -70,7 +70,7 @@
         except JobCancelled:
             self._close_cancelled()
         except LeaseLost:
-            logs.emit(events.SPAN_LOST, span=self.held.span.name)
+            logs.emit(events.SPAN_LEASE_LOST, span=self.held.span.name)
 
     def _run(self, holder: str) -> None:
         first = self._next_chunks(self._window())
@@ -236,7 +236,7 @@
         try:
             self.held.close(cancelled=True)
         except LeaseLost:
-            logs.emit(events.SPAN_LOST, span=self.held.span.name)
+            logs.emit(events.SPAN_LEASE_LOST, span=self.held.span.name)
 
 
 def _outcome_or_raise(ended: ItemOutcome | CactusridgeError) -> ItemOutcome:
--- a/cactusridge/fleet/fleet_view.py
+++ b/cactusridge/fleet/fleet_view.py
@@ -125,7 +125,7 @@
         incarnation = incarnation_key(replica.id, started_at_ms)
         self._remove(incarnation)
         logs.emit(
-            events.REPLICA_REBORN,
+            events.REPLICA_RESTARTED,
             replica=replica.id,
             born=replica.started_at_ms,
             before=started_at_ms,
@@ -155,7 +155,7 @@
         without_start_time = len(self._replicas) - self._with_start_time
         excluded = without_start_time if self._most_have_start_time() else 0
         if bool(excluded) != bool(self._excluded):
-            logs.emit(events.LIVES_NOT_TOLD, left_out=excluded)
+            logs.emit(events.START_TIMES_MISSING, left_out=excluded)
         self._excluded = excluded
         self._ready.clear()
         self.changed.set()
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -184,7 +184,7 @@
         """
         self._refresh(held.head.id)
         if held.head.version < version and not held.stopped:
-            logs.emit(events.HOLD_LOST, job=held.head.id)
+            logs.emit(events.JOB_LEASE_LOST, job=held.head.id)
             self._drop(held)
 
     def _refresh(self, job_id: str) -> None:
@@ -220,7 +220,7 @@
             held.flush()
         except HoldLost:
             metrics.LEASE_LOST.inc({})
-            logs.emit(events.HOLD_LOST, job=held.head.id)
+            logs.emit(events.JOB_LEASE_LOST, job=held.head.id)
             self._drop(held)
             self._refresh(held.head.id)
             return
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -41,7 +41,7 @@
         registered again.
         """
         self._grace_until = since + EXPIRED_GRACE_S
-        logs.emit(events.LAPSED_KEPT, replicas=len(self._fleet.ids()))
+        logs.emit(events.EXPIRED_REPLICAS_KEPT, replicas=len(self._fleet.ids()))
         self._drop_missing()
 
     def shorten_grace(self, since: float) -> None:
@@ -85,7 +85,7 @@
             # The newer incarnation keeps its state, whether it is listed
             # or was removed.
             logs.emit(
-                events.LIFE_OUT_OF_ORDER,
+                events.OLDER_INCARNATION_IGNORED,
                 host=_id_of(row.key),
                 error=str(over),
             )
--- a/cactusridge/platform/job_parts.py
+++ b/cactusridge/platform/job_parts.py
@@ -142,7 +142,7 @@
             with gevent.Timeout(bound_s):
                 self.manager.stop()
         except gevent.Timeout:
-            logs.emit(events.HAND_OVER_CUT, bound_s=bound_s)
+            logs.emit(events.HANDOVER_CUT_SHORT, bound_s=bound_s)
         log_errors(self.session.leave)
 
     def _entries(self) -> tuple[EntryPlace, ...]:
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -227,7 +227,7 @@
         elsewhere = self._jobs.intake.should_redirect_callers()
         if elsewhere != self._callers_elsewhere:
             self._callers_elsewhere = elsewhere
-            logs.emit(events.CALLERS_ELSEWHERE, elsewhere=elsewhere)
+            logs.emit(events.CALLERS_REDIRECTED, elsewhere=elsewhere)
         if elsewhere:
             raise NotReady
         return json_reply({})
--- a/cactusridge/platform/rows.py
+++ b/cactusridge/platform/rows.py
@@ -53,7 +53,7 @@
         self.link = link
         self.feeds = feeds
         self._store_clock = store_clock
-        self._reports = RowReports(events.ROW_UNNAMED)
+        self._reports = RowReports(events.ROW_KEY_UNREADABLE)
 
     def transact(
         self,
--- a/cactusridge/store/http_table.py
+++ b/cactusridge/store/http_table.py
@@ -37,7 +37,7 @@
     def __init__(self, link: PlatformLink) -> None:
         """Send every call through ``link``."""
         self.link = link
-        self._reports = RowReports(events.ROW_UNNAMED)
+        self._reports = RowReports(events.ROW_KEY_UNREADABLE)
 
     def transact(
         self,
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -52,7 +52,7 @@
         self.assertEqual([OLD], self.ends.incarnations)
         self.assertIsNone(self.fleet.get(OLD))
         self.assertEqual(BORN + 1, self.fleet.get(NEW).started_at_ms)
-        self.assertEqual(1, self.logged(events.REPLICA_REBORN))
+        self.assertEqual(1, self.logged(events.REPLICA_RESTARTED))
 
     def test_after_a_removal(self):
         """A newer incarnation ends one that is no longer listed."""
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -81,7 +81,7 @@
             self.put(f'i-{number}', ENTRY if kind == 't' else UNTOLD)
         wanted = {f'i-{n}' for n, kind in enumerate(entries) if kind == 't'}
         self.assertEqual(wanted, self.in_choice())
-        self.assertLess(0, self.logged(events.LIVES_NOT_TOLD))
+        self.assertLess(0, self.logged(events.START_TIMES_MISSING))
 
     def test_back_when_few_tell(self):
         """Excluded replicas are used again once most have no start time."""
@@ -171,7 +171,7 @@
         self.put(ID, ENTRY, born=BORN + 1)
         row = self.put(ID, ENTRY)
         self.list.put(row)
-        self.assertEqual(1, self.logged(events.LIFE_OUT_OF_ORDER))
+        self.assertEqual(1, self.logged(events.OLDER_INCARNATION_IGNORED))
 
     @params((MAX_UNLISTED - 1, 0), (MAX_UNLISTED, 1))
     def test_memory_is_bounded(self, others, wanted):
--- a/tests/test_machine_lives.py
+++ b/tests/test_machine_lives.py
@@ -72,7 +72,7 @@
         call = self.begin('/on/', 'once')
         self.restart('once', moved)
         self.assertNotEqual(200, call.get(timeout=10))
-        self.wait_logged('replica_reborn')
+        self.wait_logged('replica_restarted')
         self.wait_all_reached()
         self.assertEqual(1, self.runs('once'))
 
--- a/tests/test_platform_rows.py
+++ b/tests/test_platform_rows.py
@@ -143,7 +143,7 @@
         with emitted() as found:
             for _ in range(9):
                 self.rows.scan('t//', REPORT)
-        self.assertEqual([events.ROW_UNNAMED], found)
+        self.assertEqual([events.ROW_KEY_UNREADABLE], found)
 
     def test_page_of_one(self):
         """A page that holds nothing else does not stop a reading."""
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -63,7 +63,7 @@
         ]
         with emitted() as found:
             self.assertEqual(wanted, self.table.read(['a', 'b'], REPORT))
-        self.assertEqual([events.ROW_UNNAMED], found)
+        self.assertEqual([events.ROW_KEY_UNREADABLE], found)
         self.assertEqual(wanted[:1], self.table.scan('', REPORT))
 
     @params({}, {'rows': 5}, [], None)
--- a/tests/test_stop_races.py
+++ b/tests/test_stop_races.py
@@ -200,4 +200,4 @@
         with mock.patch('cactusridge.logs.emit') as emit:
             parts.finish(0.1)
         parts.session.leave.assert_called_once()
-        self.assertIn(events.HAND_OVER_CUT, emit.call_args.args)
+        self.assertIn(events.HANDOVER_CUT_SHORT, emit.call_args.args)
