--- a/cactusridge/background.py
+++ b/cactusridge/background.py
@@ -12,11 +12,11 @@
 
 
 def always() -> bool:
-    """Return True: the default condition of ``keep_doing``."""
+    """Return True: the default condition of ``run_forever``."""
     return True
 
 
-def keep_doing(
+def run_forever(
     step: Callable[[], object],
     wanted: Callable[[], bool] = always,
 ) -> None:
@@ -33,7 +33,7 @@
             gevent.sleep(FAILURE_PAUSE_S)
 
 
-def keep_doing_every(
+def run_every(
     pause_s: float,
     step: Callable[[], object],
     *,
@@ -50,4 +50,4 @@
         gevent.sleep(next(pauses))
         step()
 
-    keep_doing(wait_and_step)
+    run_forever(wait_and_step)
--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -6,7 +6,7 @@
 import gevent
 
 from cactusridge import events, logs, metrics
-from cactusridge.background import keep_doing
+from cactusridge.background import run_forever
 from cactusridge.batch.accounts import BatchAccounts
 from cactusridge.batch.held_span import HeldSpan
 from cactusridge.batch.item_runner import ItemRunner
@@ -18,7 +18,7 @@
 from cactusridge.batch.watchlist import LeaseWatch
 from cactusridge.errors import CactusridgeError, StoreUnavailable
 from cactusridge.identity import new_id
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, scan_all
 
@@ -36,7 +36,7 @@
     eventually.
     """
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: EntryComponents) -> None:
         """Create a driver that uses the components in ``parts``."""
         self._parts = parts
         self._cfg = parts.cfg.batch
@@ -67,8 +67,8 @@
 
     def start(self) -> None:
         """Start the greenlets that scan shards and place items."""
-        self._parts.greenlets.spawn(keep_doing, self._placer.step)
-        self._parts.greenlets.spawn(keep_doing, self._scan_and_pause)
+        self._parts.greenlets.spawn(run_forever, self._placer.step)
+        self._parts.greenlets.spawn(run_forever, self._scan_and_pause)
 
     def step(self) -> None:
         """Scan once and take spans up to the limit of held spans.
@@ -87,7 +87,7 @@
             lambda row: (row, parse_span(row)),
         )
         available = [
-            each for each in readable if self._lease_watch.free(each[0])
+            each for each in readable if self._lease_watch.may_take(each[0])
         ]
         spans = {span.name: row for row, span in available}
         free_capacity = self._cfg.max_spans - len(self._runners)
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -65,7 +65,8 @@
         """
         service = self._service(call.route)
         ready = {
-            replica.life: replica for replica in self._fleet.ready(service)
+            replica.incarnation: replica
+            for replica in self._fleet.ready(service)
         }
         fresh = set(ready) - set(progress.tried) or set(ready)
         if not fresh:
@@ -73,17 +74,18 @@
                 f'no replica of {service} is ready',
                 retry_after_s=NO_REPLICA_RETRY_S,
             )
-        allowed = self._runner.health.allowed(ready) & fresh
+        allowed = self._runner.health.selectable(ready) & fresh
         loads = self._runner.loads
-        near = self._cells.of_service(service).near
+        local = self._cells.of_service(service).local
         compared = select_candidates(
             allowed or fresh,
-            near,
-            loads.offered(),
+            local,
+            loads.offered_replicas(),
             self._rng,
         )
         choices = [
-            Choice(ready[key], loads.at(key), key in near) for key in compared
+            Choice(ready[key], loads.total_at(key), key in local)
+            for key in compared
         ]
         best = self._policies.placing.choose(choices, self._zone, self._rng)
         self._check_wait(call, best)
@@ -101,7 +103,7 @@
         Raises ConnectFailed if the replica could not be reached, and
         OutcomeUnknown if the connection broke while sending.
         """
-        progress.tried.append(replica.life)
+        progress.tried.append(replica.incarnation)
         left_s = call.deadline_at - self._clock.monotonic()
         try:
             run = self._runner.open(
@@ -111,12 +113,12 @@
                 left_s,
                 # A fault that broke one pooled connection may have broken
                 # those to other replicas too, and attempts are limited.
-                fresh=progress.may_have_run > 0,
+                new_connection=progress.may_have_run > 0,
             )
         except OutcomeUnknown:
             progress.may_have_run += 1
             raise
-        call.caller.call_when_gone(run.abort)
+        call.caller.on_disconnect(run.abort)
         self._log.placed(call, progress, replica, req)
         return run
 
@@ -136,9 +138,9 @@
         limit_s = None
         if may_retry(call, progress):
             limit_s = tolerated_silence_s(
-                self._runner.loads.at(run.replica.life),
+                self._runner.loads.total_at(run.replica.incarnation),
                 run.replica.slots,
-                call.route.aim_s,
+                call.route.target_latency_s,
             )
         try:
             return run.head(self.wait_s(call, limit_s))
@@ -150,7 +152,7 @@
             # wait that was limited to allow a retry at another replica
             # counts as a failure of the replica.
             if limit_s is not None:
-                run.failed()
+                run.record_failure()
             raise
 
     def check(self, call: OnlineCall, progress: Progress) -> None:
@@ -161,7 +163,7 @@
         deadline DeadlineExceeded, or Overloaded if the request has not
         run.
         """
-        if call.caller.gone:
+        if call.caller.disconnected:
             raise CallerDisconnected
         self._runner.suspects.check(call.req.fingerprint)
         call.permit.check()
@@ -191,14 +193,16 @@
         """Raise Overloaded if the expected wait at ``best`` is too long."""
         slot_time = self._runner.slot_time(best.replica.service)
         wait_s = expected_wait_s(best, slot_time.mean_s)
-        excess_s = self._policies.admission.excess_s(wait_s, call.route.aim_s)
+        excess_s = self._policies.admission.excess_s(
+            wait_s, call.route.target_latency_s
+        )
         if excess_s <= 0:
             return
         left_s = call.deadline_at - self._clock.monotonic()
         refusal = Refusal(excess_s, left_s)
         raise Overloaded(
             f'the expected wait is {wait_s:.3f} s',
-            retry_after_s=self._policies.returns.after_s(refusal),
+            retry_after_s=self._policies.returns.delay_s(refusal),
         )
 
     def _service(self, route: Route) -> str:
--- a/cactusridge/dispatch/claims.py
+++ b/cactusridge/dispatch/claims.py
@@ -27,19 +27,19 @@
 
 def granted_claims(
     slots: int,
-    life: str,
+    incarnation: str,
     loads: Mapping[str, Load],
 ) -> Counter[str]:
     """Return the number of granted claims on a replica by entry name.
 
-    ``life`` is the key of the replica's incarnation; ``loads`` maps each
+    ``incarnation`` is the key of the replica's incarnation; ``loads`` maps each
     entry to its requests and claims at the replica. The first claim of
     each entry precedes the second claim of any entry. Among claims of
     equal rank the order of the entries differs between replicas, so that
     no entry is always last.
     """
     free = slots - sum(load.total for load in loads.values())
-    order = rendezvous(loads, hash64(life))
+    order = rendezvous(loads, hash64(incarnation))
     most = max((load.claims for load in loads.values()), default=0)
     claims = [
         name
@@ -54,60 +54,60 @@
     """Decides which of the entries that claim a slot may use it."""
 
     @abc.abstractmethod
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return the time from a claim to its decision, in seconds.
 
         ``large`` is True if the fleet has several cells.
         """
 
     @abc.abstractmethod
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return whether a claim of ``entry`` on a replica is granted.
 
-        ``life`` is the key of the replica's incarnation; ``loads`` maps
+        ``incarnation`` is the key of the replica's incarnation; ``loads`` maps
         each entry to its requests and claims at the replica.
         """
 
 
-class ToldClaims(ClaimRule):
+class AnnouncedClaims(ClaimRule):
     """Grants the claims that ``granted_claims`` returns at every entry."""
 
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return the time in which the claims of all peers must arrive."""
         return LARGE_FLEET_CLAIM_WAIT_S if large else CLAIM_WAIT_S
 
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return whether at least one claim of ``entry`` is granted."""
-        return granted_claims(slots, life, loads)[entry] > 0
+        return granted_claims(slots, incarnation, loads)[entry] > 0
 
 
-class NoClaims(ClaimRule):
+class GrantAllClaims(ClaimRule):
     """Naive rule: grants every claim.
 
     Surplus items are preempted at the replica afterwards.
     """
 
-    def wait_s(self, large: bool) -> float:
+    def decision_delay_s(self, large: bool) -> float:
         """Return 0, since no claims of peers are awaited."""
         return 0
 
-    def keeps(
+    def grants(
         self,
         entry: str,
         slots: int,
-        life: str,
+        incarnation: str,
         loads: Mapping[str, Load],
     ) -> bool:
         """Return True."""
--- a/cactusridge/dispatch/online.py
+++ b/cactusridge/dispatch/online.py
@@ -55,7 +55,7 @@
         except CactusridgeError as exc:
             exc.not_run = progress.may_have_run == 0
             if exc.not_run:
-                call.permit.give_back()
+                call.permit.undo_count()
             self._log.failure(call, progress, exc)
             raise
 
@@ -93,12 +93,12 @@
         if self._should_retry(call, head, progress):
             raise UpstreamFailed(f'{run.replica.id} answered {head.status}')
         self._log.answered(call, run.replica)
-        if call.route.kind == RouteKind.stream and is_success(head.status):
+        if call.route.kind == RouteKind.streaming and is_success(head.status):
             body = self._streams.relay(call, run, progress)
             return Answer(head.status, head.headers, body)
         begun_at = call.arrived_at
         whole = self._read_body(call, run)
-        run.survived()
+        run.record_completion()
         self._attempts.record_slot_time(run.replica, begun_at)
         run.close()
         return Answer(head.status, head.headers, [whole])
--- a/cactusridge/dispatch/online_log.py
+++ b/cactusridge/dispatch/online_log.py
@@ -27,7 +27,7 @@
         req: UpstreamRequest,
     ) -> None:
         """Log the replica chosen for a request and the inputs of the choice."""
-        load = self._loads.at(replica.life)
+        load = self._loads.total_at(replica.incarnation)
         logs.emit(
             events.REQUEST_PLACED,
             request=req.id,
@@ -68,7 +68,7 @@
             after_event=splitter.last_id,
             ran_s=round(run.elapsed_s(), 4),
             resumable=call.route.resumable,
-            caller_gone=call.caller.gone,
+            caller_gone=call.caller.disconnected,
             cause=exc.code,
             error=str(exc),
         )
--- a/cactusridge/dispatch/retries.py
+++ b/cactusridge/dispatch/retries.py
@@ -37,7 +37,7 @@
     Raises CallerDisconnected if the caller has disconnected, Overloaded after
     too many rejections, and ``exc`` otherwise.
     """
-    if call.caller.gone:
+    if call.caller.disconnected:
         raise CallerDisconnected from exc
     if isinstance(exc, NotRun | ConnectFailed):
         progress.rejections += 1
--- a/cactusridge/dispatch/streams.py
+++ b/cactusridge/dispatch/streams.py
@@ -59,7 +59,7 @@
                 failure = exc
                 self._log.broken(call, run, splitter, exc)
             else:
-                run.survived()
+                run.record_completion()
                 self._attempts.record_slot_time(run.replica, begun_at)
                 return
             finally:
@@ -79,11 +79,11 @@
         while received:
             whole = b''.join(event.raw for event in splitter.feed(received))
             if whole:
-                run.note_output()
+                run.record_output()
                 yield whole
             received = run.read(self._attempts.wait_s(call, limit_s))
         if splitter.pending:
-            run.failed()
+            run.record_failure()
             raise TruncatedReply('the stream ended within an event')
 
     def _resume(
--- a/cactusridge/entry/app.py
+++ b/cactusridge/entry/app.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cactusridge import metrics
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.batch.driver import BatchDriver
 from cactusridge.batch.file_store import FileStore
 from cactusridge.batch.job_reader import JobReader
@@ -53,9 +53,9 @@
             STRIKES_PREFIX,
             suspects,
             clock,
-            least=1,
+            min_strikes=1,
         )
-        suspects.pass_on(self._strikes)
+        suspects.add_listener(self._strikes)
         self._strike_poll = StrikePoll(
             self.parts.table, STRIKES_PREFIX, self._strikes
         )
@@ -76,7 +76,7 @@
         self.parts.fleet.start()
         self.driver.start()
         self._spawn_every(self.cfg.settings_poll_s, self.follower.step)
-        self.parts.greenlets.spawn(keep_doing, self._strikes.step)
+        self.parts.greenlets.spawn(run_forever, self._strikes.step)
         self._spawn_every(self.cfg.strikes_poll_s, self._strike_poll.step)
         self._spawn_every(self.cfg.report_s, self.parts.recorder.flush)
         self._spawn_every(MERGE_CHECK_S, self._merge_hours)
@@ -143,4 +143,4 @@
         merge_due_hours(self._merger)
 
     def _spawn_every(self, pause_s: float, step: Callable[[], None]) -> None:
-        self.parts.greenlets.spawn(keep_doing_every, pause_s, step)
+        self.parts.greenlets.spawn(run_every, pause_s, step)
--- a/cactusridge/entry/files.py
+++ b/cactusridge/entry/files.py
@@ -11,7 +11,7 @@
 from cactusridge.errors import BadRequest
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 
 OUTPUT_PREFIX = 'file-out-'
 ERROR_PREFIX = 'file-err-'
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: EntryComponents,
         files: FileStore,
         jobs: JobStore,
         reader: JobReader,
@@ -68,7 +68,7 @@
 
     def page(self, req: Req) -> Reply:
         """List the input files of the team."""
-        rows = self._files.names(self._parts.team_of(req))
+        rows = self._files.page(self._parts.team_of(req))
         listed = [_row_entry(row) for row in rows]
         return json_reply(
             {'object': 'list', 'data': listed, 'has_more': False},
--- a/cactusridge/entry/responses.py
+++ b/cactusridge/entry/responses.py
@@ -7,7 +7,7 @@
 from cactusridge.http.exchange import Headers, Reply, Req
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
-from cactusridge.sidecar_dispatch.parts import Parts
+from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.slo.sample import ResponseTimer
 
 STRIPPED_HEADERS = frozenset(('content-length', 'connection', 'date'))
@@ -21,7 +21,7 @@
 
     def as_reply(self) -> Reply:
         """Read the whole response and return it as a reply with one body."""
-        body = self.attempt.whole()
+        body = self.attempt.read_body()
         self.timer.record_complete(self.attempt.status)
         headers = response_headers(self.attempt)
         headers.append(('Content-Length', str(len(body))))
@@ -29,7 +29,7 @@
 
 
 def open_response(
-    parts: Parts, req: Req, dispatch: Dispatch
+    parts: EntryComponents, req: Req, dispatch: Dispatch
 ) -> StartedResponse:
     """Dispatch the request; return its response once it has started.
 
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/waiting_line.py
@@ -5,13 +5,13 @@
 
 from cactusridge.clock import Clock
 from cactusridge.dispatch.catalog import Catalog, Route
-from cactusridge.dispatch.route_matches import RouteMatches
+from cactusridge.dispatch.route_matches import RouteCache
 from cactusridge.jobs.held_job import HeldJob
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState
 from cactusridge.jobs.pace import RunTimeEstimator
 from cactusridge.jobs.urgency import ItemTimes, Urgency, UrgencyClass
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.store_clock import MS, StoreClock
 
 # Delay in seconds before an interrupted item may start again, so that it is
@@ -32,7 +32,7 @@
     route: Route
 
 
-class WaitingLine:
+class ItemQueue:
     """Orders the pending items of held jobs and gives up expired items."""
 
     def __init__(
@@ -41,7 +41,7 @@
         store_clock: StoreClock,
         catalog: Callable[[], Catalog],
         urgency: Urgency,
-        suspects: Suspects,
+        suspects: CrashEvidence,
     ) -> None:
         """Use the routes of the catalog that ``catalog`` returns."""
         self._suspects = suspects
@@ -51,7 +51,7 @@
         self._urgency = urgency
         self._run_times: dict[str, RunTimeEstimator] = {}
         self._not_before: dict[str, float] = {}
-        self._routes = RouteMatches()
+        self._routes = RouteCache()
 
     def urgent_first(self, jobs: Iterable[HeldJob]) -> list[WaitingItem]:
         """Return the items of ``jobs`` that may start, most urgent first."""
@@ -104,16 +104,16 @@
         if route is None:
             self.finish(job, task, ItemState.given_up)
             return None
-        if age_s > route.give_up_s + GIVE_UP_MARGIN_S:
+        if age_s > route.abandon_after_s + GIVE_UP_MARGIN_S:
             self.finish(job, task, ItemState.given_up)
             return None
-        if self._suspects.is_held(task.fingerprint):
+        if self._suspects.is_quarantined(task.fingerprint):
             # A quarantined item waits until its quarantine ends or its time
             # expires.
             return None
         times = ItemTimes(
             route.due_s - age_s,
-            route.give_up_s - age_s,
+            route.abandon_after_s - age_s,
             self.run_times(route).remaining_s(task.events),
         )
         rank = self._urgency.rank(times)
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -5,7 +5,7 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.fleet.fleet_view import FleetView
-from cactusridge.fleet.life_order import LifeNotTold, LifeOver
+from cactusridge.fleet.life_order import MissingStartTime, OlderIncarnation
 from cactusridge.fleet.replica import Replica
 from cactusridge.platform.replica_entry import UnreadableEntry, read_entry
 from cactusridge.store.table import Row
@@ -17,7 +17,7 @@
 # store. Replicas whose entries expired in the outage register again within
 # about two seconds of its end; this process reads the entries within another
 # half second.
-LAPSED_GRACE_S = 2.5
+EXPIRED_GRACE_S = 2.5
 
 
 class Discovery(TableListener):
@@ -33,15 +33,15 @@
         # when the whole list is read again.
         self._applied_versions: dict[str, int] = {}
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Start a grace period at ``since``, the end of a store outage.
 
         Replicas whose entries expired during the outage kept running. If
         they were dropped, every request would be refused until they have
         registered again.
         """
-        self._grace_until = since + LAPSED_GRACE_S
-        logs.emit(events.LAPSED_KEPT, replicas=len(self._fleet.ids()))
+        self._grace_until = since + EXPIRED_GRACE_S
+        logs.emit(events.EXPIRED_REPLICAS_KEPT, replicas=len(self._fleet.ids()))
         self._drop_missing()
 
     def shorten_grace(self, since: float) -> None:
@@ -56,9 +56,9 @@
         """
         if self._clock.monotonic() >= self._grace_until:
             return
-        if since + LAPSED_GRACE_S < self._grace_until:
+        if since + EXPIRED_GRACE_S < self._grace_until:
             logs.emit(events.GRACE_SHORTENED, missing=len(self._missing_keys))
-            self._grace_until = since + LAPSED_GRACE_S
+            self._grace_until = since + EXPIRED_GRACE_S
             self._drop_missing()
 
     def put(self, row: Row) -> None:
@@ -69,7 +69,7 @@
             self._applied_versions[row.key] = row.version
             self._apply(row)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Drop the replicas whose keys are not among ``keys``."""
         for key in self._applied_versions.keys() - keys:
             self._drop(key)
@@ -79,19 +79,19 @@
         try:
             replica = _read(row)
             self._fleet.put(replica)
-        except (UnreadableEntry, LifeNotTold) as unreadable:
+        except (UnreadableEntry, MissingStartTime) as unreadable:
             self._drop_unreadable(row.key, str(unreadable))
-        except LifeOver as over:
+        except OlderIncarnation as over:
             # The newer incarnation keeps its state, whether it is listed
             # or was removed.
             logs.emit(
-                events.LIFE_OUT_OF_ORDER,
+                events.OLDER_INCARNATION_IGNORED,
                 host=_id_of(row.key),
                 error=str(over),
             )
         else:
             self._missing_keys.discard(row.key)
-            if not self._fleet.is_named(replica):
+            if not self._fleet.is_usable(replica):
                 _log_unreadable(row.key, 'no start time, unlike most entries')
 
     def _drop_unreadable(self, key: str, cause: str) -> None:
--- a/cactusridge/platform/key_keeper.py
+++ b/cactusridge/platform/key_keeper.py
@@ -2,13 +2,13 @@
 
 import gevent
 
-from cactusridge.background import keep_doing_every
+from cactusridge.background import run_every
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.key_questions import KeyQuestions
+from cactusridge.peers.key_questions import KeyConfirmationRequests
 from cactusridge.peers.loads import LoadTable
 from cactusridge.platform.operator import KEY, CatalogHolder
 from cactusridge.store.table import Priority, Table
@@ -27,7 +27,7 @@
         self._holder = holder
         self._lease = lease
 
-    def confirmed(self) -> KeysConfirmed | None:
+    def confirmation(self) -> KeysConfirmed | None:
         """Return the version in force and when it was last confirmed.
 
         The result is None while the lease is not valid.
@@ -61,17 +61,13 @@
         self._table = table
         self._clock = clock
         source = LocalKeySource(holder, lease)
-        self._questions = KeyQuestions(peers, loads, source, clock)
+        self._questions = KeyConfirmationRequests(peers, loads, source, clock)
 
     def start(self) -> None:
         """Check the lease periodically, in one greenlet for each source."""
-        if self._lease.bounded:
-            gevent.spawn(
-                keep_doing_every, CHECK_PERIOD_S, self.renew_from_store
-            )
-            gevent.spawn(
-                keep_doing_every, CHECK_PERIOD_S, self.renew_from_peers
-            )
+        if self._lease.expires:
+            gevent.spawn(run_every, CHECK_PERIOD_S, self.renew_from_store)
+            gevent.spawn(run_every, CHECK_PERIOD_S, self.renew_from_peers)
 
     def renew_from_store(self) -> None:
         """Read the configuration from the store if the lease is old."""
@@ -84,15 +80,15 @@
             # The watch logs the failure and retries.
             return
         self._holder.put(row)
-        self._holder.confirmed(started_at, whole=True)
+        self._holder.up_to_date(started_at, whole=True)
 
     def renew_from_peers(self) -> None:
         """Renew an old lease from a peer with the same version."""
         if not self._lease.older_than(RENEW_AGE_S):
             return
-        answer = self._questions.ask()
+        answer = self._questions.request()
         if (
             answer is not None
             and answer.version == self._holder.catalog.version
         ):
-            self._lease.read(answer.at)
+            self._lease.renew(answer.confirmed_at)
--- a/cactusridge/platform/operator.py
+++ b/cactusridge/platform/operator.py
@@ -4,14 +4,14 @@
 
 from cactusridge import events, logs, metrics
 from cactusridge.dispatch.catalog import (
-    NO_CATALOG,
+    EMPTY_CATALOG,
     CallerLimits,
     Catalog,
     Route,
     RouteKind,
     ServiceShare,
 )
-from cactusridge.organisations.directory import Directory, Holder
+from cactusridge.organisations.directory import Directory, KeyOwner
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.keys import key_digest
 from cactusridge.organisations.organisation import Organisation, RateLimit
@@ -40,7 +40,7 @@
         # version could be decoded.
         self._row_version = ABSENT
         self._row_readable = False
-        self.catalog = NO_CATALOG
+        self.catalog = EMPTY_CATALOG
         self.raw: dict[str, Any] = {}
         self._reports = RowReports(events.SETTINGS_UNREADABLE)
 
@@ -60,13 +60,13 @@
         self._row_version = row.version
         self._row_readable = False
         if row.unreadable:
-            self._reports.note(
+            self._reports.report_once(
                 KEY, row.version, 'the value is not a JSON object'
             )
         elif row.value is not None:
-            self._row_readable = self.take(row.value, KEY, row.version)
+            self._row_readable = self.apply(row.value, KEY, row.version)
 
-    def take(
+    def apply(
         self,
         raw: Any,
         source: str = '',
@@ -81,7 +81,7 @@
         try:
             catalog = decode(raw)
         except UnreadableField as exc:
-            self._reports.note(source, source_version, str(exc))
+            self._reports.report_once(source, source_version, str(exc))
             return False
         if catalog.version <= self.catalog.version:
             return True
@@ -95,7 +95,7 @@
         )
         return True
 
-    def confirmed(self, begun_at: float, whole: bool) -> None:
+    def up_to_date(self, begun_at: float, whole: bool) -> None:
         """Renew the lease on keys unless the row is unreadable.
 
         An unreadable row may have removed keys.
@@ -103,11 +103,11 @@
         if not self._row_readable:
             return
         if whole:
-            self._keys.read(begun_at)
+            self._keys.renew(begun_at)
         else:
-            self._keys.quiet(begun_at)
+            self._keys.renew_from_watch(begun_at)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Do nothing: a configuration stays in force without its row."""
 
 
@@ -160,7 +160,7 @@
     return Directory(map(_holder, holders))
 
 
-def _holder(raw: Any) -> Holder:
+def _holder(raw: Any) -> KeyOwner:
     fields = Fields(raw)
     rate_per_s = fields.number('rate_per_s', 0)
     burst = fields.number('burst', 0)
@@ -170,7 +170,7 @@
         RateLimit(rate_per_s, burst) if rate_per_s else None,
     )
     digests = map(str, fields.items_of(DIGESTS_FIELD, ()))
-    return Holder(organisation, tuple(digests))
+    return KeyOwner(organisation, tuple(digests))
 
 
 def _route(raw: Any) -> Route:
@@ -183,12 +183,13 @@
         kind=fields.enum_value('kind', RouteKind),
         shares=_shares(fields),
         timeout_s=timeout_ms / MS_PER_S,
-        aim_s=fields.number('target_latency_ms', timeout_ms) / MS_PER_S,
+        target_latency_s=fields.number('target_latency_ms', timeout_ms)
+        / MS_PER_S,
         attempts=fields.integer('max_attempts', 1),
         priority=fields.integer('priority', 0),
         resumable=fields.flag('resumable', False),  # noqa: WPS425
         due_s=fields.number('result_due_ms', 0) / MS_PER_S,
-        give_up_s=fields.number('max_wait_s', 0),
+        abandon_after_s=fields.number('max_wait_s', 0),
         public=fields.flag('public', False),  # noqa: WPS425
     )
 
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -5,7 +5,7 @@
 import gevent
 
 from cactusridge import events, logs, metrics
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.clock import BootClock
 from cactusridge.dispatch.online import OnlineDispatcher
 from cactusridge.dispatch.policies import make_outliers, make_policies
@@ -22,7 +22,7 @@
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket, Target
-from cactusridge.peers.word import Word
+from cactusridge.peers.word import EntryStatus
 from cactusridge.platform import discovery, names, operator
 from cactusridge.platform.caller_app import CallerApp
 from cactusridge.platform.callers import CallerResolver
@@ -32,7 +32,7 @@
 from cactusridge.platform.limit_parts import LimitParts
 from cactusridge.platform.store_access import StoreAccess
 from cactusridge.platform.strike_parts import (
-    TABLE,
+    JOBS_TABLE,
     StrikeParts,
     followed_prefixes,
 )
@@ -67,8 +67,8 @@
         self._strikes = StrikeParts(cfg, self._store.rows, clock)
         suspects = self._strikes.suspects
         runner = Runner(self._upstream, loads, health, suspects, clock)
-        self._fleet.on_life_end(runner)
-        self._fleet.on_life_end(self._upstream.connections)
+        self._fleet.add_incarnation_listener(runner)
+        self._fleet.add_incarnation_listener(self._upstream.connections)
         self._jobs = JobParts(
             cfg,
             self._store,
@@ -90,7 +90,7 @@
             self._jobs.cells,
             self._own_status,
         )
-        self._peers.on_word(self._receive_status)
+        self._peers.on_status(self._receive_status)
         self._strikes.connect_peers(self._peers)
         self._jobs.connect_peers(self._peers)
         self._catalog_follower = self._store.follower(
@@ -156,22 +156,22 @@
                 self._discovery,
             ),
             self._store.follower(
-                TABLE,
+                JOBS_TABLE,
                 followed_prefixes(),
                 self._strikes.combined_listener(self._jobs.heads),
             ),
         )
         for follower in followers:
-            spawn(Part.feeds, keep_doing, follower.step)
-        spawn(Part.feeds, keep_doing, self._strikes.store.step)
+            spawn(Part.feeds, run_forever, follower.step)
+        spawn(Part.feeds, run_forever, self._strikes.store.step)
         self._jobs.start()
-        trim = self._upstream.connections.trim
-        gevent.spawn(keep_doing_every, TRIM_PERIOD_S, trim)
+        close_expired = self._upstream.connections.close_expired
+        gevent.spawn(run_every, TRIM_PERIOD_S, close_expired)
         self._limits.start()
         self._lease_renewer.start()
         METER.start()
         report = WorkReport(METER, self._jobs.scheduler.depths)
-        gevent.spawn(keep_doing, report.step)
+        gevent.spawn(run_forever, report.step)
         self._serve_at(self._cfg.metrics_listen, '/metrics', metrics.serve)
         serve_catalog = self._catalogs.serve
         self._serve_at(self._cfg.peer_listen, CATALOG_PATH, serve_catalog)
@@ -192,19 +192,19 @@
         members = self._jobs.session.members()
         return [(member.host, member.port) for member in members]
 
-    def _own_status(self) -> Word:
-        return Word(
+    def _own_status(self) -> EntryStatus:
+        return EntryStatus(
             self._catalogs.version(),
             not self._store.lost,
-            self._store.contact.lasts_s(),
+            self._store.contact.uptime_s(),
         )
 
-    def _receive_status(self, peer: Target, word: Word) -> None:
-        self._catalogs.heard(peer, word.version)
-        self._jobs.intake.heard(word.has_store)
+    def _receive_status(self, peer: Target, word: EntryStatus) -> None:
+        self._catalogs.on_peer_version(peer, word.version)
+        self._jobs.intake.record_peer_report(word.has_store)
         if word.has_store:
             now = self._clock.monotonic()
-            self._discovery.shorten_grace(now - word.store_s)
+            self._discovery.shorten_grace(now - word.store_uptime_s)
 
     def _serve_at(self, listen: str, pattern: str, handler: object) -> None:
         app = App(
@@ -224,10 +224,10 @@
     def _readiness(self, req: Req) -> Reply:
         if not self._holder.known or self._draining:
             raise NotReady
-        elsewhere = self._jobs.intake.better_elsewhere()
+        elsewhere = self._jobs.intake.should_redirect_callers()
         if elsewhere != self._callers_elsewhere:
             self._callers_elsewhere = elsewhere
-            logs.emit(events.CALLERS_ELSEWHERE, elsewhere=elsewhere)
+            logs.emit(events.CALLERS_REDIRECTED, elsewhere=elsewhere)
         if elsewhere:
             raise NotReady
         return json_reply({})
--- a/cactusridge/platform/strike_parts.py
+++ b/cactusridge/platform/strike_parts.py
@@ -1,13 +1,13 @@
 """The parts of an entry that quarantine requests which crash replicas."""
 
 from cactusridge.clock import Clock
-from cactusridge.jobs.heads import TABLE
+from cactusridge.jobs.heads import JOBS_TABLE
 from cactusridge.jobs.keys import head_prefixes
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_strikes import PeerStrikes
 from cactusridge.quarantine.policies import RULES
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Table
@@ -18,7 +18,7 @@
 # another request crashed it never get a second one.
 MIN_STORED_STRIKES = 2
 # Strikes are stored in the table of the jobs because every entry follows it.
-STRIKES_PREFIX = f'{TABLE}/strikes/'
+STRIKES_PREFIX = f'{JOBS_TABLE}/strikes/'
 
 
 def followed_prefixes() -> list[str]:
@@ -36,7 +36,7 @@
         clock: Clock,
     ) -> None:
         """Store strikes in ``table``."""
-        self.suspects = Suspects(RULES[cfg.policy.quarantine](), clock)
+        self.suspects = CrashEvidence(RULES[cfg.policy.quarantine](), clock)
         self.store = StrikeStore(
             table,
             STRIKES_PREFIX,
@@ -48,10 +48,10 @@
     def combined_listener(self, heads: TableListener) -> TableListener:
         """Return a listener for strikes that passes job heads to ``heads``."""
         return ListenersByPrefix(
-            {STRIKES_PREFIX: self.store, f'{TABLE}/': heads}
+            {STRIKES_PREFIX: self.store, f'{JOBS_TABLE}/': heads}
         )
 
     def connect_peers(self, peers: PeerExchange) -> None:
         """Pass the strikes of this entry to the store and to ``peers``."""
-        self.suspects.pass_on(self.store)
-        self.suspects.pass_on(PeerStrikes(peers, self.suspects))
+        self.suspects.add_listener(self.store)
+        self.suspects.add_listener(PeerStrikes(peers, self.suspects))
--- a/cactusridge/settings/tree.py
+++ b/cactusridge/settings/tree.py
@@ -150,7 +150,9 @@
             except Exception as fault:
                 # A follower that fails misses only this path; the other
                 # followers and later changes are not affected.
-                self._failure_reports.note(path, self.version, repr(fault))
+                self._failure_reports.report_once(
+                    path, self.version, repr(fault)
+                )
 
 
 def _node(raw: Any, version: int) -> Node:
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -9,12 +9,12 @@
 from gevent.pool import Group
 
 from cactusridge import events, logs
-from cactusridge.background import keep_doing, keep_doing_every
+from cactusridge.background import run_every, run_forever
 from cactusridge.errors import StoreUnavailable
 from cactusridge.http.client import Address, parse_address
 from cactusridge.http.unpaused_time import unpaused_clock
 from cactusridge.orders import SidecarReport
-from cactusridge.routing.membership import Belief
+from cactusridge.routing.membership import HostStatus
 from cactusridge.routing.subset import choose_subset
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.sidecar_dispatch.peer_host import SidecarHost
@@ -62,7 +62,7 @@
         # The clock must not stop between probes, because the silence of a
         # sidecar is measured from one of its answers to the next.
         self._clock.hold()
-        self._spawn(keep_doing_every, self.cfg.hosts_poll_s, self.refresh)
+        self._spawn(run_every, self.cfg.hosts_poll_s, self.refresh)
 
     def now(self) -> float:
         """Return the time in seconds on the clock that dates the reports."""
@@ -102,7 +102,8 @@
         return [
             host.replicas[service]
             for host in self._sidecars.values()
-            if service in host.replicas and host.belief(now) == Belief.serving
+            if service in host.replicas
+            and host.status(now) == HostStatus.serving
         ]
 
     def report_due(self, host: SidecarHost) -> bool:
@@ -156,7 +157,7 @@
         self._sidecars[host.address] = found
         logs.emit(events.REPLICA_FOUND, host=str(host.address))
         self._spawn(
-            keep_doing,
+            run_forever,
             functools.partial(self._probe, found),
             functools.partial(self._is_tracked, found),
         )
@@ -164,7 +165,7 @@
     def _remove_if_gone(self, address: Address, now: float) -> None:
         host = self._sidecars[address]
         host.note_listed(None, now)
-        if host.belief(now) == Belief.gone:
+        if host.status(now) == HostStatus.removed:
             self._sidecars.pop(address)
             self._client.drop(address)
             logs.emit(events.REPLICA_GONE, host=str(address))
--- a/cactusridge/sidecar_dispatch/replica.py
+++ b/cactusridge/sidecar_dispatch/replica.py
@@ -51,14 +51,14 @@
             zone=self.zone,
             own=self.own[WorkClass.online],
             reported=report['online_running'] + report['online_waiting'],
-            own_then=self._own_at_report,
+            own_at_report=self._own_at_report,
             age_s=now - self.reported_at,
             limit=report['online_limit'],
             wait_s=report['wait_s'],
             sharers=sharers,
         )
 
-    def batch_share(self, entries: int) -> int:
+    def batch_item_limit(self, entries: int) -> int:
         """Return how many batch items this entry may have in flight here.
 
         All entries together may send twice as many items as may run now,
--- a/cactusridge/store/contact.py
+++ b/cactusridge/store/contact.py
@@ -38,7 +38,7 @@
         self.since = min(self.since, now)
         self._last_answer_at = now
 
-    def lasts_s(self) -> float:
+    def uptime_s(self) -> float:
         """Return the seconds since the last outage ended; 0 during one."""
         now = self._clock.monotonic()
         if now - self._last_answer_at > OUTAGE_S:
--- a/cactusridge/store/host_list.py
+++ b/cactusridge/store/host_list.py
@@ -63,7 +63,9 @@
         Raises StoreUnavailable.
         """
         headers = {'If-None-Match': self._tag} if self._tag else None
-        answer = self.link.ask('GET', '/hosts', b'', Priority.lease, headers)
+        answer = self.link.call_with_retry(
+            'GET', '/hosts', b'', Priority.lease, headers
+        )
         if answer.status == HTTPStatus.NOT_MODIFIED:
             return self._known
         try:
--- a/cactusridge/store/http_table.py
+++ b/cactusridge/store/http_table.py
@@ -37,7 +37,7 @@
     def __init__(self, link: PlatformLink) -> None:
         """Send every call through ``link``."""
         self.link = link
-        self._reports = RowReports(events.ROW_UNNAMED)
+        self._reports = RowReports(events.ROW_KEY_UNREADABLE)
 
     def transact(
         self,
@@ -106,7 +106,7 @@
         priority: Priority,
     ) -> list[Row]:
         raw = wire.encode(message)
-        answer = self.link.ask('POST', path, raw, priority)
+        answer = self.link.call_with_retry('POST', path, raw, priority)
         try:
             found = parse_reply(RowsReply, answer.body).rows
         except UnreadableReply as exc:
@@ -114,7 +114,7 @@
         rows = list(rows_in(found))
         if len(rows) != len(found):
             lost = len(found) - len(rows)
-            self._reports.note(
+            self._reports.report_once(
                 path, lost, f'{lost} entries of the reply have no key'
             )
         return rows
--- a/cactusridge/store/object_store.py
+++ b/cactusridge/store/object_store.py
@@ -89,7 +89,7 @@
 
     def drop(self, name: str, priority: Priority) -> None:
         """Remove an object; repeating it is harmless."""
-        self.link.ask('DELETE', f'/objects/{name}', b'', priority)
+        self.link.call_with_retry('DELETE', f'/objects/{name}', b'', priority)
 
     def names(self, prefix: str, after: str = '') -> list[str]:
         """Return the next page of sorted names that start with ``prefix``."""
@@ -107,7 +107,7 @@
         priority: Priority,
     ) -> bytes | None:
         """Return the body at ``path``, or None if nothing is stored there."""
-        answer = self.link.ask('GET', path, b'', priority, headers)
+        answer = self.link.call_with_retry('GET', path, b'', priority, headers)
         if answer.status == NOT_FOUND:
             return None
         if answer.status not in FOUND:
--- a/cactusridge/store/row_reader.py
+++ b/cactusridge/store/row_reader.py
@@ -61,7 +61,7 @@
 
     def log_unreadable(self, row: Row, error: str) -> None:
         """Log that a row cannot be parsed."""
-        self._reports.note(row.key, row.version, error)
+        self._reports.report_once(row.key, row.version, error)
 
     def raise_unreadable(self, row: Row, error: str) -> NoReturn:
         """Log that a row cannot be parsed and raise UnreadableRecord."""
--- a/cactusridge/store/row_reports.py
+++ b/cactusridge/store/row_reports.py
@@ -26,7 +26,7 @@
         self._event = event
         self._known: OrderedDict[str, int] = OrderedDict()
 
-    def note(self, key: str, version: int, error: str) -> None:
+    def report_once(self, key: str, version: int, error: str) -> None:
         """Log the row unless this version of it has been logged before."""
         if self._known.get(key) == version:
             return
--- a/cactusridge/store/table_follower.py
+++ b/cactusridge/store/table_follower.py
@@ -41,10 +41,10 @@
         """
 
     @abc.abstractmethod
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Remove every row whose key is not among ``keys``."""
 
-    def confirmed(self, begun_at: float, whole: bool) -> None:
+    def up_to_date(self, begun_at: float, whole: bool) -> None:
         """Handle the end of a read; all of its rows have been processed.
 
         ``begun_at`` is when the read began, in seconds of the follower's
@@ -52,7 +52,7 @@
         answered watch, which may have had no changes.
         """
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Handle the end of an outage of the store.
 
         ``since`` is when the store's first answer was received, in seconds
@@ -94,7 +94,7 @@
         self._unreadable = RowReports()
         self._failures = RowReports(events.LISTENER_FAILED)
 
-    def silent_s(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Return the seconds since the last read succeeded."""
         if self.heard_at is None:
             return float('inf')
@@ -131,7 +131,7 @@
             self._notify(
                 self._table,
                 found.version,
-                lambda: self._listener.keep_only(keys),
+                lambda: self._listener.retain(keys),
             )
         for row in found.rows:
             self._notify_put(row)
@@ -139,7 +139,7 @@
         self._notify(
             self._table,
             found.version,
-            lambda: self._listener.confirmed(now, whole),
+            lambda: self._listener.up_to_date(now, whole),
         )
 
     def _notify_regained(self) -> None:
@@ -151,7 +151,7 @@
         self._notify(
             self._table,
             ABSENT,
-            lambda: self._listener.regained(since),
+            lambda: self._listener.store_recovered(since),
         )
 
     def _notify_put(self, row: Row) -> None:
@@ -168,9 +168,9 @@
         try:
             call()
         except UnreadableRecord as exc:
-            self._unreadable.note(key, version, str(exc))
+            self._unreadable.report_once(key, version, str(exc))
         except Exception as fault:
-            self._failures.note(key, version, repr(fault))
+            self._failures.report_once(key, version, repr(fault))
 
     def _back_off(self) -> None:
         gevent.sleep(self._pause_s * self._rng.uniform(0.5, 1))
--- a/tests/discovery_case.py
+++ b/tests/discovery_case.py
@@ -81,7 +81,7 @@
 
     def back(self):
         """Notify the list of the end of a store outage."""
-        self.list.regained(self.clock.monotonic())
+        self.list.store_recovered(self.clock.monotonic())
 
     def put(self, replica_id, entry, **changes):
         """Put a row of a replica into the list and return it."""
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -1,25 +1,25 @@
 """Plays changes of a list of replicas to the reader and a naive model."""
 
 from cactusridge import wire
-from cactusridge.fleet.life_listener import LifeListener
+from cactusridge.fleet.life_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
-from cactusridge.platform.discovery import LAPSED_GRACE_S, PREFIX
+from cactusridge.platform.discovery import EXPIRED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
 from standins.machines.corrupt_entries import CORRUPTIONS
 from tests.discovery_case import BORN, UNTOLD, DiscoveryCase, row_of
 from tests.naive_list import Entry, NaiveList
 
 
-class Ends(LifeListener):
+class Ends(IncarnationListener):
     """Records the incarnations that have ended."""
 
     def __init__(self):
         """Create a listener without records."""
-        self.lives = []
+        self.incarnations = []
 
-    def life_ended(self, life):
+    def incarnation_ended(self, incarnation):
         """Record the incarnation."""
-        self.lives.append(life)
+        self.incarnations.append(incarnation)
 
 
 class Play(DiscoveryCase):
@@ -31,9 +31,9 @@
     def begin(self):
         """Start with an empty list."""
         self.setUp()
-        self.naive = NaiveList(LAPSED_GRACE_S)
+        self.naive = NaiveList(EXPIRED_GRACE_S)
         self.ends = Ends()
-        self.fleet.on_life_end(self.ends)
+        self.fleet.add_incarnation_listener(self.ends)
         # The version and the payload of each row by replica id; the payload of
         # a removed row is None.
         self.store = {}
@@ -71,7 +71,7 @@
             for replica_id, row in self.store.items()
             if row[1] is not None
         }
-        self.list.keep_only({f'{PREFIX}{each}' for each in there})
+        self.list.retain({f'{PREFIX}{each}' for each in there})
         for replica_id, (version, payload) in there.items():
             self.list.put(self.row(replica_id, version, payload))
         self.naive.whole(
@@ -91,7 +91,7 @@
     def away(self):
         """End an outage of the store."""
         self.pending = {}
-        self.list.regained(self.clock.monotonic())
+        self.list.store_recovered(self.clock.monotonic())
         self.naive.regained()
         self.whole()
 
@@ -128,7 +128,11 @@
     def compare(self):
         """Check that both readers use the same replicas and incarnations."""
         found = {
-            (each.id, each.born and each.born - BORN, each.address.port)
+            (
+                each.id,
+                each.started_at_ms and each.started_at_ms - BORN,
+                each.address.port,
+            )
             for each in self.fleet.ready('model')
         }
         self.assertEqual(self.naive.in_choice(), found)
@@ -136,8 +140,8 @@
             incarnation_key(replica_id, born and BORN + born or 0)
             for replica_id, born in self.naive.ended
         ]
-        self.assertEqual(ended, self.ends.lives)
-        for life in ended:
-            self.assertIsNone(self.fleet.get(life))
+        self.assertEqual(ended, self.ends.incarnations)
+        for incarnation in ended:
+            self.assertIsNone(self.fleet.get(incarnation))
         for each in self.fleet.ready('model'):
-            self.assertIs(each, self.fleet.get(each.life))
+            self.assertIs(each, self.fleet.get(each.incarnation))
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -9,19 +9,19 @@
 from cactusridge.clock import ManualClock
 from cactusridge.dispatch import policies as online
 from cactusridge.dispatch.admission import AdmitAll, InTime
-from cactusridge.dispatch.claims import NoClaims, ToldClaims
+from cactusridge.dispatch.claims import AnnouncedClaims, GrantAllClaims
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline
 from cactusridge.dispatch.returns import AfterBurst, NextSlot
 from cactusridge.jobs import policies as batch
 from cactusridge.jobs.urgency import DueFirst, OnTimeFirst
-from cactusridge.organisations.home_limits import HomeLimits
+from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.limiter import FixedShares
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.cell_rules import ByZone, OneCell
 from cactusridge.peers.load import Load
 from cactusridge.quarantine.policies import RULES
 from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
-from cactusridge.routing.outliers import OutlierEjector, TrustAll
+from cactusridge.routing.outliers import NoEjection, OutlierEjector
 from cactusridge.startup.models import DirectPolicy
 
 # The default class and the naive class of each setting.
@@ -29,12 +29,12 @@
     'placing': (LeastOnline, AnyReplica),
     'admission': (InTime, AdmitAll),
     'returns': (AfterBurst, NextSlot),
-    'outliers': (OutlierEjector, TrustAll),
+    'outliers': (OutlierEjector, NoEjection),
     'items': (OnTimeFirst, DueFirst),
-    'claims': (ToldClaims, NoClaims),
+    'claims': (AnnouncedClaims, GrantAllClaims),
     'cells': (ByZone, OneCell),
     'quarantine': (ByCrashes, NoQuarantine),
-    'limits': (HomeLimits, FixedShares),
+    'limits': (OwnerLimiter, FixedShares),
 }
 
 
@@ -81,7 +81,9 @@
     def test_one_or_both(self):
         """Announced claims let one entry start; without them both start."""
         loads = {'a': Load(0, 7, 1), 'b': Load(0, 0, 1)}
-        kept = [ToldClaims().keeps(name, 8, 'life', loads) for name in loads]
+        kept = [
+            AnnouncedClaims().grants(name, 8, 'life', loads) for name in loads
+        ]
         self.assertEqual(1, sum(kept))
-        self.assertTrue(NoClaims().keeps('a', 8, 'life', loads))
-        self.assertTrue(NoClaims().keeps('b', 8, 'life', loads))
+        self.assertTrue(GrantAllClaims().grants('a', 8, 'life', loads))
+        self.assertTrue(GrantAllClaims().grants('b', 8, 'life', loads))
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -18,7 +18,7 @@
         super().__init__()
         self.returns: list[float] = []
 
-    def regained(self, since):
+    def store_recovered(self, since):
         """Keep the end of an outage."""
         self.returns.append(since)
 
@@ -88,9 +88,9 @@
     def test_before_the_first_answer(self):
         """The time starts with the first answer, not with the process."""
         self.clock.advance(1)
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
         self.contact.record_reply()
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
 
     def test_in_an_outage_and_after_it(self):
         """The time is 0 during an outage and restarts at its end."""
@@ -98,9 +98,9 @@
         for _ in range(3):
             self.clock.advance(1)
             self.contact.record_reply()
-        self.assertEqual(3, self.contact.lasts_s())
+        self.assertEqual(3, self.contact.uptime_s())
         self.clock.advance(OUTAGE_S + 1)
-        self.assertEqual(0, self.contact.lasts_s())
+        self.assertEqual(0, self.contact.uptime_s())
         self.contact.record_reply()
         self.clock.advance(1)
-        self.assertEqual(1, self.contact.lasts_s())
+        self.assertEqual(1, self.contact.uptime_s())
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -5,13 +5,13 @@
 import gevent
 from nose2.tools import params
 
-from cactusridge.background import keep_doing
+from cactusridge.background import run_forever
 from cactusridge.clock import ManualClock
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage, Strike
 from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Priority, Row, Write
 from cactusridge.store.table_follower import TableListener
@@ -29,23 +29,23 @@
 
     def __init__(self, table: MemoryTable, clock: ManualClock) -> None:
         """Start writing strikes to ``table`` in the background."""
-        self.suspects = Suspects(ByCrashes(), clock)
+        self.suspects = CrashEvidence(ByCrashes(), clock)
         self._table = table
         self.store = StrikeStore(table, PREFIX, self.suspects, clock, LEAST)
-        self.suspects.pass_on(self.store)
-        self.writer = gevent.spawn(keep_doing, self.store.step)
+        self.suspects.add_listener(self.store)
+        self.writer = gevent.spawn(run_forever, self.store.step)
 
     def read(self) -> None:
         """Read the stored strikes."""
         rows = self._table.scan(PREFIX, Priority.commit)
-        self.store.keep_only({row.key for row in rows})
+        self.store.retain({row.key for row in rows})
         for row in rows:
             self.store.put(row)
 
-    def crash(self, lives: str) -> None:
-        """Record a crash of each of ``lives`` under the request ``a``."""
-        for life in lives:
-            self.suspects.crashed('a', life, Stage.begun)
+    def crash(self, incarnations: str) -> None:
+        """Record a crash of each incarnation under the request ``a``."""
+        for incarnation in incarnations:
+            self.suspects.crashed('a', incarnation, Stage.started)
 
 
 class TestStrikeStore(unittest.TestCase):
@@ -72,9 +72,9 @@
         wait_for(f'{count} rows', lambda: len(self.rows()) == count, 3)
 
     @params(('1', 0), ('12', 2), ('1234', 4))
-    def test_stored(self, lives, count):
+    def test_stored(self, incarnations, count):
         """A single strike is not stored; a second one stores both."""
-        self.one.crash(lives)
+        self.one.crash(incarnations)
         gevent.sleep(0.05)
         self.wait_rows(count)
 
@@ -84,7 +84,7 @@
         self.wait_rows(3)
         other = self.entry()
         other.read()
-        self.assertTrue(other.suspects.is_held('a'))
+        self.assertTrue(other.suspects.is_quarantined('a'))
 
     def test_taken_back(self):
         """Strikes that one entry withdraws no longer count at others."""
@@ -93,10 +93,10 @@
         other = self.entry()
         for each in (self.one, other):
             each.read()
-        other.suspects.survived('a')
+        other.suspects.record_completion('a')
         self.wait_rows(0)
         self.one.read()
-        self.assertFalse(self.one.suspects.is_held('a'))
+        self.assertFalse(self.one.suspects.is_quarantined('a'))
 
     def test_row_written_after_it_was_taken_back(self):
         """A strike that is stored after its withdrawal is removed."""
@@ -104,7 +104,7 @@
         self.wait_rows(2)
         late = self.rows()[0]
         self.one.read()
-        self.one.suspects.survived('a')
+        self.one.suspects.record_completion('a')
         self.wait_rows(0)
         self.table.transact([], [Write(late.key, late.value)], Priority.commit)
         self.one.read()
@@ -132,7 +132,7 @@
         with self.assertRaises(UnreadableRecord):
             self.one.store.put(Row(f'{PREFIX}x', raw, 1))
         self.one.crash('123')
-        self.assertTrue(self.one.suspects.is_held('a'))
+        self.assertTrue(self.one.suspects.is_quarantined('a'))
 
 
 class Kept(TableListener):
@@ -146,11 +146,11 @@
         """Record the row's key."""
         self.told.append(row.key)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain(self, keys: set[str]) -> None:
         """Record the keys."""
         self.told.append(keys)
 
-    def regained(self, since: float) -> None:
+    def store_recovered(self, since: float) -> None:
         """Record the time."""
         self.told.append(since)
 
@@ -164,8 +164,8 @@
         both = ListenersByPrefix({'t/a/': inner, 't/': outer})
         for key in ('t/a/1', 't/b/1', 'u/1'):
             both.put(Row(key, {}, 1))
-        both.keep_only({'t/a/1', 't/b/1'})
-        both.regained(5)
+        both.retain({'t/a/1', 't/b/1'})
+        both.store_recovered(5)
         self.assertEqual(['t/a/1', {'t/a/1'}, 5], inner.told)
         self.assertEqual(['t/b/1', {'t/b/1'}, 5], outer.told)
 
@@ -178,8 +178,11 @@
         table = MemoryTable()
         entry = Entry(table, ManualClock(1))
         self.addCleanup(entry.writer.kill)
-        lives = ('x' * 214, 'y' * 214)
-        long = [Strike('a' * 32, life, Stage.begun, 1) for life in lives]
+        incarnations = ('x' * 214, 'y' * 214)
+        long = [
+            Strike('a' * 32, incarnation, Stage.started, 1)
+            for incarnation in incarnations
+        ]
         entry.store.publish_strikes(long)
         wait_for('rows', lambda: len(table.scan(PREFIX, Priority.commit)) == 2)
         keys = [row.key for row in table.scan(PREFIX, Priority.commit)]
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -16,9 +16,9 @@
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState, JobHead, JobItem
 from cactusridge.jobs.urgency import OnTimeFirst
-from cactusridge.jobs.waiting_line import WaitingLine
+from cactusridge.jobs.waiting_line import ItemQueue
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import Suspects
+from cactusridge.quarantine.suspects import CrashEvidence
 
 ACCEPTED_UNDER = 5
 NOW_MS = 1000
@@ -30,12 +30,12 @@
     kind=RouteKind.batch,
     shares=(ServiceShare('model', 1),),
     timeout_s=5,
-    aim_s=1,
+    target_latency_s=1,
     attempts=2,
     priority=0,
     resumable=False,
     due_s=18,
-    give_up_s=GIVE_UP_S,
+    abandon_after_s=GIVE_UP_S,
 )
 
 
@@ -98,12 +98,12 @@
         routes = (ROUTE,) if listed else ()
         catalog = Catalog(version, routes, CallerLimits())
         store_clock = SimpleNamespace(now_ms=lambda: NOW_MS + age_s * 1000)
-        line = WaitingLine(
+        line = ItemQueue(
             ManualClock(),
             store_clock,
             lambda: catalog,
             OnTimeFirst(),
-            Suspects(ByCrashes(), ManualClock()),
+            CrashEvidence(ByCrashes(), ManualClock()),
         )
         job = FakeJob()
         found = line.urgent_first([job])
