--- a/cactusridge/entry/building.py
+++ b/cactusridge/entry/building.py
@@ -17,7 +17,7 @@
 from cactusridge.sidecar_dispatch.fleet import Fleet
 from cactusridge.sidecar_dispatch.parts import Parts
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
-from cactusridge.slo.burn_watch import BurnRateMonitor
+from cactusridge.slo.burn_rate_monitor import BurnRateMonitor
 from cactusridge.slo.recorder import SloRecorder
 from cactusridge.startup.models import EntrySettings
 from cactusridge.store.host_list import HttpHostList
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from cactusridge import wire
-from cactusridge.entry.answering import open_response, response_headers
 from cactusridge.entry.request_fields import (
     forwarded_headers,
     read_request_fields,
 )
+from cactusridge.entry.responses import open_response, response_headers
 from cactusridge.errors import BadRequest, CactusridgeError
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
--- a/cactusridge/entry/peers.py
+++ b/cactusridge/entry/peers.py
@@ -6,9 +6,9 @@
 
 from cactusridge import wire
 from cactusridge.errors import NoReplica
-from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.client import Address, Clients
 from cactusridge.http.secret import SECRET_HEADER
+from cactusridge.http.unpaused_time import UnpausedTimeout
 from cactusridge.settings.follower import PeerSource
 from cactusridge.settings.tree import Snapshot
 from cactusridge.sidecar_dispatch.fleet import Fleet
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -2,11 +2,11 @@
 
 from urllib.parse import quote
 
-from cactusridge.entry.answering import open_response
 from cactusridge.entry.request_fields import (
     forwarded_headers,
     read_request_fields,
 )
+from cactusridge.entry.responses import open_response
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req
 from cactusridge.settings.catalog import Service
--- a/cactusridge/entry/uploads.py
+++ b/cactusridge/entry/uploads.py
@@ -11,8 +11,8 @@
 )
 
 from cactusridge.errors import BadRequest, SlowRequest, TooLarge
-from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.exchange import Req
+from cactusridge.http.unpaused_time import UnpausedTimeout
 
 MAX_FIELD_BYTES = 4096
 Blocks = Iterator[bytes]
--- a/cactusridge/http/client.py
+++ b/cactusridge/http/client.py
@@ -6,7 +6,7 @@
 from geventhttpclient.response import HTTPSocketPoolResponse
 
 from cactusridge import wire
-from cactusridge.http.patience import UnpausedClient
+from cactusridge.http.unpaused_sockets import UnpausedClient
 
 # The most connections of a pool.
 POOL_SIZE = 4096
--- a/cactusridge/http/exchange.py
+++ b/cactusridge/http/exchange.py
@@ -7,8 +7,8 @@
 
 from cactusridge import wire
 from cactusridge.errors import BadRequest, SlowRequest, TooLarge
-from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.readable import is_readable
+from cactusridge.http.unpaused_time import UnpausedTimeout
 
 SOCKET_KEY = 'cactusridge.socket'
 # The request target and the headers in their original form: in the WSGI
--- a/cactusridge/http/patience.py
+++ b/cactusridge/http/unpaused_sockets.py
@@ -9,8 +9,8 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.connectionpool import ConnectionPool
 
-from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.readable import is_readable, is_writable
+from cactusridge.http.unpaused_time import UnpausedTimeout
 
 # How often a call that changes nothing is sent again because its connection
 # broke, before the call fails.
--- a/cactusridge/sidecar/app.py
+++ b/cactusridge/sidecar/app.py
@@ -29,9 +29,9 @@
 )
 from cactusridge.settings import schema
 from cactusridge.settings.paths import NodeKind
-from cactusridge.sidecar.fences import FencingRegister
-from cactusridge.sidecar.lane import ManagedUpstream
-from cactusridge.sidecar.ledger import OrderLedger
+from cactusridge.sidecar.fencing import FencingRegister
+from cactusridge.sidecar.managed_upstream import ManagedUpstream
+from cactusridge.sidecar.order_ledger import OrderLedger
 from cactusridge.sidecar.run import Run, end_frame, refusal_frame
 from cactusridge.startup.models import SidecarSettings
 
--- a/cactusridge/sidecar/run.py
+++ b/cactusridge/sidecar/run.py
@@ -17,8 +17,8 @@
 from cactusridge.http.frames import FrameHead, FrameKind
 from cactusridge.orders import RunOrder, SidecarReport, WorkClass
 from cactusridge.sidecar.gate import AdmissionTicket
-from cactusridge.sidecar.lane import ManagedUpstream
-from cactusridge.sidecar.ledger import OrderLedger
+from cactusridge.sidecar.managed_upstream import ManagedUpstream
+from cactusridge.sidecar.order_ledger import OrderLedger
 from cactusridge.sidecar.stopwatch import Stopwatch
 from cactusridge.sidecar.upstream import Answer, is_failure
 
--- a/cactusridge/sidecar/upstream.py
+++ b/cactusridge/sidecar/upstream.py
@@ -16,11 +16,11 @@
     UpstreamCrashed,
     UpstreamFailed,
 )
-from cactusridge.http import patience
+from cactusridge.http import unpaused_sockets
 from cactusridge.http.client import Clients, parse_address
 from cactusridge.http.probe import is_still_open
 from cactusridge.orders import RunOrder, WorkClass
-from cactusridge.sidecar.answer_bodies import (
+from cactusridge.sidecar.response_bodies import (
     IO_ERRORS,
     read_available,
     read_blocks,
@@ -165,7 +165,7 @@
         """
         conn = HTTPConnection(*self.address)
         try:
-            conn.sock = patience.connect(
+            conn.sock = unpaused_sockets.connect(
                 self.address,
                 self._host_cfg.connect_timeout_s,
                 self.cfg.read_timeout_s,
@@ -208,7 +208,7 @@
     def _accepts_connections(self) -> bool:
         """Return whether the upstream accepts and keeps a connection."""
         try:
-            sock = patience.connect(
+            sock = unpaused_sockets.connect(
                 self.address,
                 self._host_cfg.connect_timeout_s,
                 self.cfg.read_timeout_s,
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -11,8 +11,8 @@
 from cactusridge import events, logs
 from cactusridge.background import keep_doing, keep_doing_every
 from cactusridge.errors import StoreUnavailable
-from cactusridge.http.awake import unpaused_clock
 from cactusridge.http.client import Address, parse_address
+from cactusridge.http.unpaused_time import unpaused_clock
 from cactusridge.orders import SidecarReport
 from cactusridge.routing.membership import Belief
 from cactusridge.routing.subset import choose_subset
--- a/cactusridge/sidecar_dispatch/sidecar_client.py
+++ b/cactusridge/sidecar_dispatch/sidecar_client.py
@@ -4,9 +4,9 @@
 
 from cactusridge import wire
 from cactusridge.errors import NoReplica, OutcomeUnknown
-from cactusridge.http.awake import UnpausedTimeout
 from cactusridge.http.client import Address, Clients
 from cactusridge.http.secret import SECRET_HEADER
+from cactusridge.http.unpaused_time import UnpausedTimeout
 from cactusridge.orders import (
     Probe,
     RunOrder,
--- a/cactusridge/slo/recorder.py
+++ b/cactusridge/slo/recorder.py
@@ -7,7 +7,7 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
-from cactusridge.slo.burn_watch import BurnRateMonitor
+from cactusridge.slo.burn_rate_monitor import BurnRateMonitor
 from cactusridge.slo.period import Period, Run, encode_period, period_name
 from cactusridge.slo.window import GoodBadCounts, ServiceWindow
 from cactusridge.store.object_store import ObjectStore
--- a/tests/test_awake.py
+++ b/tests/test_awake.py
@@ -7,7 +7,7 @@
 from gevent.monkey import get_original
 from nose2.tools import params
 
-from cactusridge.http.awake import (
+from cactusridge.http.unpaused_time import (
     MAX_STEP_S,
     TICK_S,
     UnpausedTimeout,
--- a/tests/test_burn_watch.py
+++ b/tests/test_burn_watch.py
@@ -8,7 +8,7 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.slo.burn import HOUR_S
-from cactusridge.slo.burn_watch import BUCKET_S, BurnRateMonitor
+from cactusridge.slo.burn_rate_monitor import BUCKET_S, BurnRateMonitor
 from cactusridge.slo.window import GoodBadCounts, ServiceWindow
 from tests.quarter import OBJECTIVE, SERVICE
 
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -10,7 +10,7 @@
 
 from cactusridge import events
 from cactusridge.http.client import Clients
-from cactusridge.http.patience import UnpausedSocket
+from cactusridge.http.unpaused_sockets import UnpausedSocket
 from standins.local_fleet import YAZMAN
 from standins.waiting import wait_for
 from tests.late_case import (
--- a/tests/test_paused.py
+++ b/tests/test_paused.py
@@ -10,7 +10,7 @@
 from cactusridge.errors import NoReplica
 from cactusridge.http.app import App, route
 from cactusridge.http.exchange import json_reply
-from cactusridge.http.patience import UnpausedSocket
+from cactusridge.http.unpaused_sockets import UnpausedSocket
 from cactusridge.identity import new_id
 from cactusridge.orders import RunOrder, WorkClass
 from cactusridge.sidecar.upstream import Upstream
