--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -18,9 +18,9 @@
 from cactusridge import wire
 from cactusridge.batch.job_reader import JobReader
 from cactusridge.batch.job_store import JobStore
+from cactusridge.batch.lease_watch import LeaseWatch
 from cactusridge.batch.ordering import LeastSlack
 from cactusridge.batch.span import Span
-from cactusridge.batch.watchlist import LeaseWatch
 from cactusridge.clock import ManualClock
 from cactusridge.http import frames
 from cactusridge.http.frames import FrameHead
--- a/bench/made_state.py
+++ b/bench/made_state.py
@@ -15,7 +15,7 @@
 from cactusridge.settings.schema import ServiceSettings
 from cactusridge.settings.tree import SettingsTree, Snapshot
 from cactusridge.sidecar.ledger import RunLedger
-from cactusridge.sidecar_dispatch.peer_host import SidecarHost
+from cactusridge.sidecar_dispatch.sidecar_host import SidecarHost
 from cactusridge.startup.models import SidecarSettings
 from cactusridge.store.host_list import Host, HostState
 
--- a/cactusridge/batch/driver.py
+++ b/cactusridge/batch/driver.py
@@ -10,15 +10,15 @@
 from cactusridge.batch.accounts import BatchAccounts
 from cactusridge.batch.held_span import HeldSpan
 from cactusridge.batch.item_runner import ItemRunner
+from cactusridge.batch.lease_watch import LeaseWatch
 from cactusridge.batch.ordering import URGENT_S, make_order
 from cactusridge.batch.placer import BatchPlacer
 from cactusridge.batch.shards import own_shards
 from cactusridge.batch.span import Span, parse_span, shard_prefix
 from cactusridge.batch.span_runner import SpanRunner
-from cactusridge.batch.watchlist import LeaseWatch
 from cactusridge.errors import CactusridgeError, StoreUnavailable
 from cactusridge.identity import new_id
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, scan_all
 
--- a/cactusridge/dispatch/attempts.py
+++ b/cactusridge/dispatch/attempts.py
@@ -14,7 +14,7 @@
 )
 from cactusridge.dispatch.policies import DispatchPolicies
 from cactusridge.dispatch.retries import NO_REPLICA_RETRY_S, may_retry
-from cactusridge.dispatch.returns import Refusal
+from cactusridge.dispatch.retry_after import Refusal
 from cactusridge.dispatch.run import NotRun, Run, Runner
 from cactusridge.dispatch.upstream import (
     UpstreamHead,
--- a/cactusridge/dispatch/crash_watch.py
+++ b/cactusridge/dispatch/crash_watch.py
@@ -6,8 +6,8 @@
 
 from cactusridge.dispatch.upstream import Upstream
 from cactusridge.fleet.replica import Replica
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import CrashEvidence
 
 # Delay in seconds from a broken connection to the probe of its replica.
 # A process that ends closes its connections one by one, not all at once.
--- a/cactusridge/dispatch/policies.py
+++ b/cactusridge/dispatch/policies.py
@@ -7,7 +7,11 @@
 from cactusridge.clock import Clock
 from cactusridge.dispatch.admission import Admission, AdmitAll, InTime
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline, Placing
-from cactusridge.dispatch.returns import AfterBurst, NextSlot, RetryAfterPolicy
+from cactusridge.dispatch.retry_after import (
+    AfterBurst,
+    NextSlot,
+    RetryAfterPolicy,
+)
 from cactusridge.peers.cell_rules import ByZone, CellRule, OneCell
 from cactusridge.routing.outliers import (
     NoEjection,
--- a/cactusridge/dispatch/run.py
+++ b/cactusridge/dispatch/run.py
@@ -20,12 +20,12 @@
     Refused,
     TruncatedReply,
 )
-from cactusridge.fleet.life_listener import IncarnationListener
+from cactusridge.fleet.incarnation_listener import IncarnationListener
 from cactusridge.fleet.replica import Replica
 from cactusridge.peers.load import WorkKind
 from cactusridge.peers.loads import LoadTable
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierDetector
 
 # Errors raised when a connection ended before the answer was complete.
--- a/cactusridge/entry/admin.py
+++ b/cactusridge/entry/admin.py
@@ -14,7 +14,7 @@
 from cactusridge.settings.access import Caller, check_operator
 from cactusridge.settings.follower import SettingsFollower
 from cactusridge.settings.tree import Change
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 from cactusridge.slo.burn import QUARTER, BurnReporter
 from cactusridge.slo.history import SloHistory
 
--- a/cactusridge/entry/answering.py
+++ b/cactusridge/entry/answering.py
@@ -7,7 +7,7 @@
 from cactusridge.http.exchange import Headers, Reply, Req
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 from cactusridge.slo.sample import AnswerTimer
 
 HOP_HEADERS = frozenset(('content-length', 'connection', 'date'))
--- a/cactusridge/entry/batches.py
+++ b/cactusridge/entry/batches.py
@@ -13,7 +13,7 @@
 from cactusridge.http.exchange import Reply, Req, json_reply
 from cactusridge.settings.paths import NAME
 from cactusridge.settings.schema import JobSettings
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 
 KEY_HEADER = 'Idempotency-Key'
 MAX_KEY = 256
--- a/cactusridge/entry/building.py
+++ b/cactusridge/entry/building.py
@@ -14,8 +14,8 @@
 from cactusridge.settings.store import SettingsStore
 from cactusridge.settings.tree import SettingsTree
 from cactusridge.sidecar_dispatch.dispatcher import Dispatcher
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 from cactusridge.sidecar_dispatch.fleet import Fleet
-from cactusridge.sidecar_dispatch.parts import EntryComponents
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
 from cactusridge.slo.burn_watch import BurnWatch
 from cactusridge.slo.recorder import SloRecorder
--- a/cactusridge/entry/files.py
+++ b/cactusridge/entry/files.py
@@ -11,7 +11,7 @@
 from cactusridge.errors import BadRequest
 from cactusridge.http.app import Route, route
 from cactusridge.http.exchange import Reply, Req, json_reply
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 
 OUTPUT_PREFIX = 'file-out-'
 ERROR_PREFIX = 'file-err-'
--- a/cactusridge/entry/online.py
+++ b/cactusridge/entry/online.py
@@ -12,7 +12,7 @@
 from cactusridge.settings.catalog import Service
 from cactusridge.sidecar_dispatch.attempt import Attempt
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 from cactusridge.slo.sample import AnswerTimer
 
 OK = 200
--- a/cactusridge/entry/plain.py
+++ b/cactusridge/entry/plain.py
@@ -8,7 +8,7 @@
 from cactusridge.http.exchange import Reply, Req
 from cactusridge.settings.catalog import Service
 from cactusridge.sidecar_dispatch.dispatch import Buffering, Dispatch
-from cactusridge.sidecar_dispatch.parts import EntryComponents
+from cactusridge.sidecar_dispatch.entry_components import EntryComponents
 
 REPEATABLE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
 PATH_SAFE = "/:@!$&'()*+,;=~-._"
--- a/cactusridge/fleet/fleet_view.py
+++ b/cactusridge/fleet/fleet_view.py
@@ -5,15 +5,18 @@
 from gevent.event import Event
 
 from cactusridge import events, logs
-from cactusridge.fleet.life_listener import IncarnationListener
-from cactusridge.fleet.life_order import IncarnationOrder
-from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
+from cactusridge.fleet.incarnation_listener import IncarnationListener
+from cactusridge.fleet.incarnation_order import IncarnationOrder
 from cactusridge.fleet.replica import (
     UNKNOWN_START,
     Replica,
     ReplicaState,
     incarnation_key,
 )
+from cactusridge.fleet.start_time_rule import (
+    is_usable_entry,
+    most_have_start_time,
+)
 
 
 class FleetView:
--- a/cactusridge/fleet/life_order.py
+++ b/cactusridge/fleet/incarnation_order.py
@@ -3,8 +3,8 @@
 from collections import OrderedDict
 
 from cactusridge.errors import CactusridgeError
-from cactusridge.fleet.life_rule import is_usable_entry
 from cactusridge.fleet.replica import UNKNOWN_START
+from cactusridge.fleet.start_time_rule import is_usable_entry
 
 # Limits how many unlisted replicas have the start time of their newest
 # incarnation remembered. The largest deployments list some tens of replicas,
--- a/cactusridge/jobs/free_replicas.py
+++ b/cactusridge/jobs/free_replicas.py
@@ -5,8 +5,8 @@
 from collections.abc import Set
 
 from cactusridge.dispatch.catalog import Route
+from cactusridge.dispatch.preemption import free_batch_slots
 from cactusridge.dispatch.run import Runner
-from cactusridge.dispatch.yielding import free_batch_slots
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica
 from cactusridge.peers.batch_sharing import BatchSharing
--- a/cactusridge/jobs/held_job.py
+++ b/cactusridge/jobs/held_job.py
@@ -11,6 +11,7 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import OutcomeUnknown, StoreUnavailable
 from cactusridge.jobs.item_run import ItemTask
+from cactusridge.jobs.job_changes import FinishedItem, JobChanges
 from cactusridge.jobs.ledger import (
     MAX_CHECKPOINT_CHARS,
     MAX_COMMIT_RESULTS,
@@ -24,7 +25,6 @@
     Progress,
     Result,
 )
-from cactusridge.jobs.step import FinishedItem, JobChanges
 from cactusridge.store.unreadable import UnreadableRecord
 
 # Pause in seconds before a failed commit is retried.
--- a/cactusridge/jobs/waiting_line.py
+++ b/cactusridge/jobs/item_queue.py
@@ -5,13 +5,13 @@
 
 from cactusridge.clock import Clock
 from cactusridge.dispatch.catalog import Catalog, Route
-from cactusridge.dispatch.route_matches import RouteCache
+from cactusridge.dispatch.route_cache import RouteCache
 from cactusridge.jobs.held_job import HeldJob
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState
-from cactusridge.jobs.pace import RunTimeEstimator
+from cactusridge.jobs.run_times import RunTimeEstimator
 from cactusridge.jobs.urgency import ItemTimes, Urgency, UrgencyClass
-from cactusridge.quarantine.suspects import CrashEvidence
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.store.store_clock import MS, StoreClock
 
 # Delay in seconds before an interrupted item may start again, so that it is
--- a/cactusridge/jobs/ledger.py
+++ b/cactusridge/jobs/ledger.py
@@ -17,8 +17,16 @@
     StoreUnavailable,
 )
 from cactusridge.identity import new_id
+from cactusridge.jobs.conditional_writer import ConditionalWriter, HoldLost
 from cactusridge.jobs.heads import parse_head
-from cactusridge.jobs.hold_writer import ConditionalWriter, HoldLost
+from cactusridge.jobs.job_changes import (
+    JobChanges,
+    parse_checkpoint,
+    parse_progress,
+    progress_after,
+    progress_value,
+    step_writes,
+)
 from cactusridge.jobs.keys import (
     checkpoint_prefix,
     head_key,
@@ -36,14 +44,6 @@
 )
 from cactusridge.jobs.payloads import Payloads
 from cactusridge.jobs.result_rows import ResultReader
-from cactusridge.jobs.step import (
-    JobChanges,
-    parse_checkpoint,
-    parse_progress,
-    progress_after,
-    progress_value,
-    step_writes,
-)
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import (
--- a/cactusridge/jobs/manager.py
+++ b/cactusridge/jobs/manager.py
@@ -7,14 +7,14 @@
 from cactusridge import events, logs, metrics
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
+from cactusridge.jobs.conditional_writer import HoldLost
 from cactusridge.jobs.heads import JobHeads
 from cactusridge.jobs.held_job import HeldJob, restored_job
-from cactusridge.jobs.hold_writer import HoldLost
 from cactusridge.jobs.ledger import JobLedger
+from cactusridge.jobs.membership import Membership
 from cactusridge.jobs.model import JobHead, JobItem, JobState
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.jobs.scheduler import BatchScheduler
-from cactusridge.jobs.session import Membership
 from cactusridge.peers.exchange import ignore_announcement
 from cactusridge.work_meter import Part, spawn
 
--- a/cactusridge/jobs/session.py
+++ b/cactusridge/jobs/membership.py
@@ -9,7 +9,7 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError, StoreUnavailable
-from cactusridge.jobs.tenure import MembershipStart
+from cactusridge.jobs.membership_start import MembershipStart
 from cactusridge.store.fields import Fields
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
--- a/cactusridge/jobs/orphans.py
+++ b/cactusridge/jobs/orphans.py
@@ -4,8 +4,8 @@
 from cactusridge.clock import Clock
 from cactusridge.errors import CactusridgeError
 from cactusridge.hashing import hash64, rendezvous
+from cactusridge.jobs.membership import Membership
 from cactusridge.jobs.model import JobHead, JobState
-from cactusridge.jobs.session import Membership
 from cactusridge.store.unreadable import UnreadableRecord
 
 # Delay in seconds per rank before an entry takes over an orphaned job: the
--- a/cactusridge/jobs/payloads.py
+++ b/cactusridge/jobs/payloads.py
@@ -9,7 +9,7 @@
 from cactusridge.errors import BadRequest, NotFound
 from cactusridge.jobs.keys import payload_prefix
 from cactusridge.jobs.model import JobItem
-from cactusridge.jobs.pieces import split_text
+from cactusridge.jobs.row_text import split_text
 from cactusridge.store.fields import Fields
 from cactusridge.store.object_store import ObjectStore
 from cactusridge.store.row_reader import RowReader
--- a/cactusridge/jobs/result_rows.py
+++ b/cactusridge/jobs/result_rows.py
@@ -5,7 +5,7 @@
 
 from cactusridge.jobs.keys import POSITION_DIGITS, result_prefix
 from cactusridge.jobs.model import ItemState, Result
-from cactusridge.jobs.pieces import split_text
+from cactusridge.jobs.row_text import split_text
 from cactusridge.store.fields import Fields
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write
--- a/cactusridge/jobs/scheduler.py
+++ b/cactusridge/jobs/scheduler.py
@@ -9,17 +9,17 @@
 from cactusridge.clock import Clock
 from cactusridge.dispatch.catalog import Route
 from cactusridge.dispatch.claims import ClaimRule
+from cactusridge.dispatch.preemption import preemption_counts
 from cactusridge.dispatch.run import Runner
-from cactusridge.dispatch.yielding import preemption_counts
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica
 from cactusridge.jobs.free_replicas import FreeReplicas
 from cactusridge.jobs.held_job import HeldJob
+from cactusridge.jobs.item_queue import ItemQueue, WaitingItem
 from cactusridge.jobs.item_run import ItemRun, ItemTask, RunOutcome
-from cactusridge.jobs.look_pacer import PassPacer
 from cactusridge.jobs.model import ItemState
-from cactusridge.jobs.running import RunningItem
-from cactusridge.jobs.waiting_line import ItemQueue, WaitingItem
+from cactusridge.jobs.pass_pacer import PassPacer
+from cactusridge.jobs.running_item import RunningItem
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
--- a/cactusridge/organisations/limit_home.py
+++ b/cactusridge/organisations/limit_counter.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 
 from cactusridge.clock import Clock
-from cactusridge.organisations.homes import LimitOwners
-from cactusridge.organisations.limit_ask import (
+from cactusridge.organisations.limit_messages import (
     NOT_COUNTED,
     LimitCopy,
     LimitRequest,
     LimitResponse,
 )
+from cactusridge.organisations.limit_owners import LimitOwners
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
 
--- a/cactusridge/organisations/home_limits.py
+++ b/cactusridge/organisations/owner_limiter.py
@@ -2,13 +2,13 @@
 
 from cactusridge.clock import Clock
 from cactusridge.organisations.errors import LimitUnavailable
-from cactusridge.organisations.homes import LimitOwners
-from cactusridge.organisations.limit_ask import (
+from cactusridge.organisations.limit_counter import LimitCounter
+from cactusridge.organisations.limit_messages import (
     LimitClient,
     LimitRequest,
     LimitResponse,
 )
-from cactusridge.organisations.limit_home import LimitCounter
+from cactusridge.organisations.limit_owners import LimitOwners
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 
--- a/cactusridge/organisations/policies.py
+++ b/cactusridge/organisations/policies.py
@@ -2,8 +2,8 @@
 
 from types import MappingProxyType
 
-from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.limiter import FixedShares, NoLimits
+from cactusridge.organisations.owner_limiter import OwnerLimiter
 
 LIMITERS = MappingProxyType(
     {'homes': OwnerLimiter, 'shares': FixedShares, 'none': NoLimits},
--- a/cactusridge/peers/exchange.py
+++ b/cactusridge/peers/exchange.py
@@ -21,11 +21,11 @@
 from cactusridge.background import run_forever
 from cactusridge.peers.audience import Audience
 from cactusridge.peers.cells import Cells
+from cactusridge.peers.entry_status import EntryStatus
 from cactusridge.peers.load import NO_LOAD, Load, WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.offers import decode_offer
 from cactusridge.peers.peer_socket import PeerSocket, Target
-from cactusridge.peers.word import EntryStatus
 from cactusridge.work_meter import Part, spawn
 
 # Interval at which all counts are repeated, in seconds.
--- a/cactusridge/peers/limit_questions.py
+++ b/cactusridge/peers/limit_requests.py
@@ -7,14 +7,14 @@
 from gevent.event import AsyncResult
 
 from cactusridge.http.client import parse_address
-from cactusridge.organisations.homes import LimitOwners
-from cactusridge.organisations.limit_ask import (
+from cactusridge.organisations.limit_counter import LimitCounter
+from cactusridge.organisations.limit_messages import (
     LimitClient,
     LimitCopy,
     LimitRequest,
     LimitResponse,
 )
-from cactusridge.organisations.limit_home import LimitCounter
+from cactusridge.organisations.limit_owners import LimitOwners
 from cactusridge.organisations.organisation import RateLimit
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
--- a/cactusridge/peers/peer_strikes.py
+++ b/cactusridge/peers/peer_strikes.py
@@ -5,9 +5,9 @@
 
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_socket import Target
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.strike import Stage, Strike, StrikePair
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import CrashEvidence
 
 STRIKES = 'strikes'
 WITHDRAWALS = 'strikes_withdrawn'
--- a/cactusridge/platform/caller_app.py
+++ b/cactusridge/platform/caller_app.py
@@ -18,12 +18,12 @@
 )
 from cactusridge.http.exchange import SOCKET_KEY, Reply
 from cactusridge.platform.caller_request import CallerRequest
+from cactusridge.platform.caller_resolver import CATALOG_STALE_S, CallerResolver
 from cactusridge.platform.caller_watch import SocketWatch
-from cactusridge.platform.callers import CATALOG_STALE_S, CallerResolver
+from cactusridge.platform.catalog_holder import CatalogHolder
 from cactusridge.platform.errors import failure_reply
 from cactusridge.platform.job_calls import JobCalls
-from cactusridge.platform.operator import CatalogHolder
-from cactusridge.platform.started_stream import PrefetchedStream
+from cactusridge.platform.prefetched_stream import PrefetchedStream
 from cactusridge.store.table_follower import TableFollower
 
 # Retry-After, in seconds, of a process without a configuration. A process
--- a/cactusridge/platform/callers.py
+++ b/cactusridge/platform/caller_resolver.py
@@ -10,7 +10,7 @@
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.permit import OPEN_PERMIT, KeyPermit, Permit
 from cactusridge.platform.caller_request import CallerRequest
-from cactusridge.platform.operator import CatalogHolder
+from cactusridge.platform.catalog_holder import CatalogHolder
 from cactusridge.store.table_follower import TableFollower
 
 # Age of the last answer to the configuration watch, in seconds, from which an
--- a/cactusridge/platform/catalog_peers.py
+++ b/cactusridge/platform/catalog_peers.py
@@ -11,7 +11,7 @@
 from cactusridge.errors import BadRequest
 from cactusridge.http.client import Address, Clients
 from cactusridge.http.exchange import Reply, Req, json_reply
-from cactusridge.platform.operator import CatalogHolder
+from cactusridge.platform.catalog_holder import CatalogHolder
 
 CATALOG_PATH = '/catalog'
 # Seconds; a round trip to any availability zone takes under 10 ms.
--- a/cactusridge/platform/connections.py
+++ b/cactusridge/platform/connections.py
@@ -9,7 +9,7 @@
 
 from cactusridge.clock import Clock
 from cactusridge.dispatch.upstream import ConnectFailed
-from cactusridge.fleet.life_listener import IncarnationListener
+from cactusridge.fleet.incarnation_listener import IncarnationListener
 from cactusridge.http.client import Address
 from cactusridge.http.probe import is_quiet
 
--- a/cactusridge/platform/discovery.py
+++ b/cactusridge/platform/discovery.py
@@ -5,7 +5,10 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.fleet.fleet_view import FleetView
-from cactusridge.fleet.life_order import MissingStartTime, OlderIncarnation
+from cactusridge.fleet.incarnation_order import (
+    MissingStartTime,
+    OlderIncarnation,
+)
 from cactusridge.fleet.replica import Replica
 from cactusridge.platform.replica_entry import UnreadableEntry, read_entry
 from cactusridge.store.table import Row
--- a/cactusridge/platform/job_calls.py
+++ b/cactusridge/platform/job_calls.py
@@ -13,7 +13,7 @@
 from cactusridge.errors import BadRequest, Conflict, NotFound, OutcomeUnknown
 from cactusridge.http.exchange import Reply, json_reply
 from cactusridge.jobs.heads import JobHeads
-from cactusridge.jobs.intake import JobAdmission
+from cactusridge.jobs.job_admission import JobAdmission
 from cactusridge.jobs.manager import JobManager
 from cactusridge.jobs.model import (
     ItemState,
--- a/cactusridge/platform/job_parts.py
+++ b/cactusridge/platform/job_parts.py
@@ -10,22 +10,22 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.http.client import Address
 from cactusridge.jobs.heads import JobHeads
-from cactusridge.jobs.intake import JobAdmission
+from cactusridge.jobs.item_queue import ItemQueue
 from cactusridge.jobs.janitor import REMOVAL_POLL_S, Janitor
+from cactusridge.jobs.job_admission import JobAdmission
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.manager import ORPHAN_POLL_S, JobManager
+from cactusridge.jobs.membership import RENEW_INTERVAL_S, Membership, log_errors
+from cactusridge.jobs.membership_start import MembershipStart
 from cactusridge.jobs.orphans import Orphans
 from cactusridge.jobs.policies import make_policies
 from cactusridge.jobs.scheduler import BatchScheduler
-from cactusridge.jobs.session import RENEW_INTERVAL_S, Membership, log_errors
-from cactusridge.jobs.tenure import MembershipStart
-from cactusridge.jobs.waiting_line import ItemQueue
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.cell_rules import EntryPlace
 from cactusridge.peers.cells import Cells
 from cactusridge.peers.exchange import PeerExchange
+from cactusridge.platform.catalog_holder import CatalogHolder
 from cactusridge.platform.job_calls import JobCalls
-from cactusridge.platform.operator import CatalogHolder
 from cactusridge.platform.store_access import StoreAccess
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.work_meter import Part, spawn
--- a/cactusridge/platform/key_keeper.py
+++ b/cactusridge/platform/key_lease_renewer.py
@@ -8,9 +8,9 @@
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.key_questions import KeyConfirmationRequests
+from cactusridge.peers.key_confirmation_requests import KeyConfirmationRequests
 from cactusridge.peers.loads import LoadTable
-from cactusridge.platform.operator import KEY, CatalogHolder
+from cactusridge.platform.catalog_holder import KEY, CatalogHolder
 from cactusridge.store.table import Priority, Table
 
 CHECK_PERIOD_S = 0.4
--- a/cactusridge/platform/limit_parts.py
+++ b/cactusridge/platform/limit_parts.py
@@ -5,18 +5,18 @@
 from cactusridge.background import run_every
 from cactusridge.clock import Clock
 from cactusridge.http.client import Address
-from cactusridge.jobs.session import Membership
-from cactusridge.organisations.home_limits import OwnerLimiter
-from cactusridge.organisations.homes import (
+from cactusridge.jobs.membership import Membership
+from cactusridge.organisations.limit_counter import LimitCounter
+from cactusridge.organisations.limit_owners import (
     UPDATE_INTERVAL_S,
     Candidate,
     LimitOwners,
 )
-from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.limiter import FixedShares, Limiter, NoLimits
+from cactusridge.organisations.owner_limiter import OwnerLimiter
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.limit_questions import LimitRequests
+from cactusridge.peers.limit_requests import LimitRequests
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.store.store_clock import StoreClock
 
--- a/cactusridge/platform/role.py
+++ b/cactusridge/platform/role.py
@@ -19,16 +19,16 @@
 from cactusridge.http.server import Server
 from cactusridge.organisations.key_lease import KeyLease
 from cactusridge.peers.audience import Audience
+from cactusridge.peers.entry_status import EntryStatus
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket, Target
-from cactusridge.peers.word import EntryStatus
-from cactusridge.platform import discovery, names, operator
+from cactusridge.platform import catalog_holder, discovery, names
 from cactusridge.platform.caller_app import CallerApp
-from cactusridge.platform.callers import CallerResolver
+from cactusridge.platform.caller_resolver import CallerResolver
 from cactusridge.platform.catalog_peers import CATALOG_PATH, CatalogPeers
 from cactusridge.platform.job_parts import JobParts
-from cactusridge.platform.key_keeper import KeyLeaseRenewer
+from cactusridge.platform.key_lease_renewer import KeyLeaseRenewer
 from cactusridge.platform.limit_parts import LimitParts
 from cactusridge.platform.store_access import StoreAccess
 from cactusridge.platform.strike_parts import (
@@ -58,7 +58,7 @@
         self._clock = clock
         self._store = StoreAccess(cfg.store, clock)
         lease = KeyLease(clock, cfg.keys_last_s)
-        self._holder = operator.CatalogHolder(lease)
+        self._holder = catalog_holder.CatalogHolder(lease)
         self._fleet = FleetView()
         self._discovery = discovery.Discovery(self._fleet, clock)
         self._upstream = HttpUpstream(clock)
@@ -94,8 +94,8 @@
         self._strikes.connect_peers(self._peers)
         self._jobs.connect_peers(self._peers)
         self._catalog_follower = self._store.follower(
-            operator.TABLE,
-            [operator.KEY],
+            catalog_holder.TABLE,
+            [catalog_holder.KEY],
             self._holder,
             lease.reread_s,
         )
--- a/cactusridge/platform/strike_parts.py
+++ b/cactusridge/platform/strike_parts.py
@@ -5,9 +5,9 @@
 from cactusridge.jobs.keys import head_prefixes
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.peer_strikes import PeerStrikes
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.policies import RULES
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.startup.models import DirectEntrySettings
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Table
--- a/cactusridge/quarantine/strike_store.py
+++ b/cactusridge/quarantine/strike_store.py
@@ -8,6 +8,7 @@
 from cactusridge import events, logs
 from cactusridge.clock import Clock
 from cactusridge.errors import StoreUnavailable
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.strike import Strike, StrikePair
 from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_listener import StrikeListener
@@ -16,7 +17,6 @@
     strike_key,
     strike_write,
 )
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.row_reader import RowReader
 from cactusridge.store.table import Priority, Row, Table, Write, WriteUnknown
 from cactusridge.store.table_follower import TableListener
--- a/cactusridge/sidecar_dispatch/dispatcher.py
+++ b/cactusridge/sidecar_dispatch/dispatcher.py
@@ -17,8 +17,8 @@
 )
 from cactusridge.identity import new_id
 from cactusridge.orders import RunOrder, WorkClass
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.policies import RULES
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.candidates import PickRequest
 from cactusridge.routing.retry_budget import RetryPolicy
 from cactusridge.sidecar_dispatch.attempt import (
@@ -28,15 +28,15 @@
 )
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
 from cactusridge.sidecar_dispatch.fleet import Fleet
+from cactusridge.sidecar_dispatch.outcome_resolver import OutcomeResolver
 from cactusridge.sidecar_dispatch.policies import (
     make_outliers,
     make_picker,
     make_retries,
 )
 from cactusridge.sidecar_dispatch.replica import Replica
-from cactusridge.sidecar_dispatch.settler import OutcomeResolver
+from cactusridge.sidecar_dispatch.run_listener import CrashIds, CrashReporter
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
-from cactusridge.sidecar_dispatch.suspect_run import CrashIds, CrashReporter
 from cactusridge.startup.models import EntrySettings
 
 NON_RETRYABLE_CODES = frozenset(
--- a/cactusridge/sidecar_dispatch/fleet.py
+++ b/cactusridge/sidecar_dispatch/fleet.py
@@ -17,10 +17,10 @@
 from cactusridge.routing.membership import HostStatus
 from cactusridge.routing.subset import choose_subset
 from cactusridge.settings.tree import SettingsTree
-from cactusridge.sidecar_dispatch.peer_host import SidecarHost
 from cactusridge.sidecar_dispatch.prober import SidecarProber
 from cactusridge.sidecar_dispatch.replica import Replica
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
+from cactusridge.sidecar_dispatch.sidecar_host import SidecarHost
 from cactusridge.startup.models import EntrySettings
 from cactusridge.store.host_list import Host, HostList
 
--- a/cactusridge/sidecar_dispatch/prober.py
+++ b/cactusridge/sidecar_dispatch/prober.py
@@ -8,8 +8,8 @@
 from cactusridge.orders import SidecarReport
 from cactusridge.routing.membership import HostStatus
 from cactusridge.settings.tree import SettingsTree
-from cactusridge.sidecar_dispatch.peer_host import SidecarHost
 from cactusridge.sidecar_dispatch.sidecar_client import SidecarClient
+from cactusridge.sidecar_dispatch.sidecar_host import SidecarHost
 from cactusridge.startup.models import EntrySettings
 
 PROBE_JITTER = (0.8, 1.2)
--- a/cactusridge/sidecar_dispatch/suspect_run.py
+++ b/cactusridge/sidecar_dispatch/run_listener.py
@@ -4,8 +4,8 @@
 
 from cactusridge.clock import Clock
 from cactusridge.orders import WorkClass
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.sidecar_dispatch.attempt import RunListener
 from cactusridge.sidecar_dispatch.dispatch import Dispatch
 from cactusridge.sidecar_dispatch.replica import Replica
--- a/tests/burst_entry.py
+++ b/tests/burst_entry.py
@@ -15,9 +15,9 @@
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.cell_rules import CellRule
 from cactusridge.peers.cells import Cells
+from cactusridge.peers.entry_status import EntryStatus
 from cactusridge.peers.exchange import PeerExchange
 from cactusridge.peers.loads import LoadTable
-from cactusridge.peers.word import EntryStatus
 from cactusridge.routing.outliers import NoEjection
 from cactusridge.startup.models import DirectPolicy
 from tests.cells_play import SERVICE
--- a/tests/exchange_play.py
+++ b/tests/exchange_play.py
@@ -1,8 +1,8 @@
 """Creates an exchange between entries for tests."""
 
 from cactusridge.peers.audience import Audience
+from cactusridge.peers.entry_status import EntryStatus
 from cactusridge.peers.exchange import PeerExchange
-from cactusridge.peers.word import EntryStatus
 
 
 def exchange_of(sock, loads, addresses, sharing):
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -9,14 +9,14 @@
 from typing import NamedTuple
 
 from cactusridge.clock import ManualClock
-from cactusridge.organisations.homes import (
+from cactusridge.organisations.limit_counter import LimitCounter
+from cactusridge.organisations.limit_messages import LimitCopy
+from cactusridge.organisations.limit_owners import (
     MS_PER_S,
     UPDATE_INTERVAL_S,
     Candidate,
     LimitOwners,
 )
-from cactusridge.organisations.limit_ask import LimitCopy
-from cactusridge.organisations.limit_home import LimitCounter
 from cactusridge.organisations.limiter import Limiter
 from cactusridge.organisations.organisation import RateLimit
 
--- a/tests/limits_limiters.py
+++ b/tests/limits_limiters.py
@@ -1,8 +1,8 @@
 """The limiters that the simulation compares with each other."""
 
-from cactusridge.organisations.home_limits import OwnerLimiter
-from cactusridge.organisations.limit_ask import LimitClient
+from cactusridge.organisations.limit_messages import LimitClient
 from cactusridge.organisations.limiter import FixedShares, Limiter
+from cactusridge.organisations.owner_limiter import OwnerLimiter
 from cactusridge.organisations.token_bucket import TokenBucket
 from tests.limits_fleet import Entry
 
--- a/tests/list_play.py
+++ b/tests/list_play.py
@@ -1,7 +1,7 @@
 """Plays changes of a list of replicas to the reader and a naive model."""
 
 from cactusridge import wire
-from cactusridge.fleet.life_listener import IncarnationListener
+from cactusridge.fleet.incarnation_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
 from cactusridge.platform.discovery import EXPIRED_GRACE_S, PREFIX
 from cactusridge.store.table import Row
--- a/tests/spoilt_job_case.py
+++ b/tests/spoilt_job_case.py
@@ -3,7 +3,8 @@
 import unittest
 
 from cactusridge.clock import ManualClock
-from cactusridge.jobs.hold_writer import HoldLost
+from cactusridge.jobs.conditional_writer import HoldLost
+from cactusridge.jobs.job_changes import FinishedItem
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.model import (
     ItemState,
@@ -11,7 +12,6 @@
     JobItem,
     Result,
 )
-from cactusridge.jobs.step import FinishedItem
 from cactusridge.platform.errors import failure_reply
 from cactusridge.store.unreadable import UnreadableRecord
 from tests.memory_objects import MemoryObjects
--- a/tests/test_catalog_peers.py
+++ b/tests/test_catalog_peers.py
@@ -8,8 +8,8 @@
 from cactusridge.http.app import App, route
 from cactusridge.http.server import Server
 from cactusridge.organisations.key_lease import KeyLease
+from cactusridge.platform.catalog_holder import CatalogHolder
 from cactusridge.platform.catalog_peers import CATALOG_PATH, CatalogPeers
-from cactusridge.platform.operator import CatalogHolder
 from standins.waiting import wait_for
 
 NEWER = {'version': 7, 'routes': [], 'limits': {}}
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 
 from cactusridge.dispatch.claims import CLAIM_WAIT_S, granted_claims
-from cactusridge.dispatch.yielding import free_batch_slots
+from cactusridge.dispatch.preemption import free_batch_slots
 from cactusridge.peers.load import Load
 
 SLOTS = 8
--- a/tests/test_dispatch_decisions.py
+++ b/tests/test_dispatch_decisions.py
@@ -13,7 +13,7 @@
     expected_wait_s,
     tolerated_silence_s,
 )
-from cactusridge.dispatch.yielding import free_batch_slots, preemption_counts
+from cactusridge.dispatch.preemption import free_batch_slots, preemption_counts
 from cactusridge.fleet.replica import Replica, ReplicaState
 from cactusridge.http.client import Address
 from cactusridge.peers.load import Load, WorkKind
--- a/tests/test_fleet_cost.py
+++ b/tests/test_fleet_cost.py
@@ -20,7 +20,7 @@
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.fleet.replica import Replica, ReplicaState
 from cactusridge.jobs.free_replicas import FreeReplicas
-from cactusridge.jobs.look_pacer import PassPacer
+from cactusridge.jobs.pass_pacer import PassPacer
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load
 from cactusridge.peers.loads import LoadTable
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -6,7 +6,7 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.jobs.intake import (
+from cactusridge.jobs.job_admission import (
     OUTAGE_RETRY_S,
     PEER_REPORT_VALID_S,
     PEER_RETRY_S,
--- a/tests/test_job_ledger.py
+++ b/tests/test_job_ledger.py
@@ -6,7 +6,8 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import NotFound, OutcomeUnknown, StoreUnavailable
-from cactusridge.jobs.hold_writer import HoldLost
+from cactusridge.jobs.conditional_writer import HoldLost
+from cactusridge.jobs.job_changes import FinishedItem, JobChanges
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.model import (
     Checkpoint,
@@ -16,7 +17,6 @@
     JobState,
     Result,
 )
-from cactusridge.jobs.step import FinishedItem, JobChanges
 from cactusridge.store.table import Priority
 from standins.faults import FaultKind
 from standins.memory_table import MemoryTable
--- a/tests/test_key_lease.py
+++ b/tests/test_key_lease.py
@@ -13,9 +13,9 @@
 from cactusridge.organisations.key_source import KeysConfirmed, KeySource
 from cactusridge.organisations.keys import bearer_key, key_digest
 from cactusridge.organisations.organisation import Organisation
-from cactusridge.peers.key_questions import KeyConfirmationRequests
+from cactusridge.peers.key_confirmation_requests import KeyConfirmationRequests
 from cactusridge.peers.loads import LoadTable
-from cactusridge.platform.operator import KEY, CatalogHolder
+from cactusridge.platform.catalog_holder import KEY, CatalogHolder
 from cactusridge.store.table import Row
 from tests.sent_wire import Wire
 
--- a/tests/test_life_ends.py
+++ b/tests/test_life_ends.py
@@ -4,15 +4,15 @@
 
 from cactusridge import events
 from cactusridge.dispatch.run import Runner
-from cactusridge.fleet.life_listener import IncarnationListener
+from cactusridge.fleet.incarnation_listener import IncarnationListener
 from cactusridge.fleet.replica import incarnation_key
 from cactusridge.http.client import Address
 from cactusridge.peers.batch_sharing import BatchSharing
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.platform.connections import Connections
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierEjector
 from tests.cells_play import cells_of, places
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,23 +8,23 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.organisations.errors import OverLimit
-from cactusridge.organisations.homes import (
+from cactusridge.organisations.limit_counter import (
+    BACKUP_BURST,
+    BURST_TOLERANCE,
+    LimitCounter,
+)
+from cactusridge.organisations.limit_messages import LimitRequest
+from cactusridge.organisations.limit_owners import (
     MS_PER_S,
     PEER_READ_MS,
     SETTLE_MS,
     Candidate,
     LimitOwners,
 )
-from cactusridge.organisations.limit_ask import LimitRequest
-from cactusridge.organisations.limit_home import (
-    BACKUP_BURST,
-    BURST_TOLERANCE,
-    LimitCounter,
-)
 from cactusridge.organisations.limiter import FixedShares, NoLimits
 from cactusridge.organisations.organisation import Organisation, RateLimit
 from cactusridge.organisations.token_bucket import TokenBucket
-from cactusridge.peers.limit_questions import LimitRequests
+from cactusridge.peers.limit_requests import LimitRequests
 from tests.limits_fleet import Loss
 from tests.limits_limiters import BroadcastCounts, by_owners, by_shares
 from tests.limits_play import play
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -5,9 +5,12 @@
 from nose2.tools import params
 
 from cactusridge import events
-from cactusridge.fleet.life_order import MAX_UNLISTED
-from cactusridge.fleet.life_rule import is_usable_entry, most_have_start_time
+from cactusridge.fleet.incarnation_order import MAX_UNLISTED
 from cactusridge.fleet.replica import UNKNOWN_START, incarnation_key
+from cactusridge.fleet.start_time_rule import (
+    is_usable_entry,
+    most_have_start_time,
+)
 from cactusridge.http.client import Address
 from tests.discovery_case import BORN, ENTRY, UNTOLD, DiscoveryCase
 
--- a/tests/test_peer_strikes.py
+++ b/tests/test_peer_strikes.py
@@ -11,9 +11,9 @@
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket
 from cactusridge.peers.peer_strikes import STRIKES, PeerStrikes
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage
-from cactusridge.quarantine.suspects import CrashEvidence
 from standins.ports import Ports
 from standins.waiting import wait_for
 from tests.cells_play import cells_of, places
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,6 +7,7 @@
 from cactusridge.clock import SystemClock
 from cactusridge.fleet.fleet_view import FleetView
 from cactusridge.peers.batch_sharing import BatchSharing
+from cactusridge.peers.entry_status import EntryStatus
 from cactusridge.peers.exchange import (
     ALL,
     STATUS,
@@ -14,7 +15,6 @@
 from cactusridge.peers.load import Load, WorkKind
 from cactusridge.peers.loads import LoadTable
 from cactusridge.peers.peer_socket import PeerSocket
-from cactusridge.peers.word import EntryStatus
 from standins.ports import Ports
 from standins.waiting import wait_for
 from tests.cells_play import (
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -11,11 +11,11 @@
 from cactusridge.dispatch.admission import AdmitAll, InTime
 from cactusridge.dispatch.claims import AnnouncedClaims, GrantAllClaims
 from cactusridge.dispatch.placement import AnyReplica, LeastOnline
-from cactusridge.dispatch.returns import AfterBurst, NextSlot
+from cactusridge.dispatch.retry_after import AfterBurst, NextSlot
 from cactusridge.jobs import policies as batch
 from cactusridge.jobs.urgency import DueFirst, OnTimeFirst
-from cactusridge.organisations.home_limits import OwnerLimiter
 from cactusridge.organisations.limiter import FixedShares
+from cactusridge.organisations.owner_limiter import OwnerLimiter
 from cactusridge.organisations.policies import LIMITERS
 from cactusridge.peers.cell_rules import ByZone, OneCell
 from cactusridge.peers.load import Load
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,6 +6,7 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import Quarantined
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.fingerprint import fingerprint_of
 from cactusridge.quarantine.rules import ByCrashes, NoQuarantine
 from cactusridge.quarantine.strike import Stage, Strike
@@ -16,7 +17,6 @@
     StrikeBook,
 )
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import CrashEvidence
 
 QUEUED, BEGUN, ANSWERING = Stage.queued, Stage.started, Stage.answering
 REQUEST = ('10.0.0.1', 'POST', 'h', '/p', b'b')
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -9,7 +9,7 @@
 from nose2.tools import params
 
 from cactusridge.dispatch.admission import InTime
-from cactusridge.dispatch.returns import (
+from cactusridge.dispatch.retry_after import (
     EARLIEST_SHARE,
     LATEST_SHARE,
     MIN_RETRY_S,
--- a/tests/test_run_strikes.py
+++ b/tests/test_run_strikes.py
@@ -25,10 +25,10 @@
 from cactusridge.http.client import Address
 from cactusridge.peers.load import WorkKind
 from cactusridge.peers.loads import LoadTable
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage
 from cactusridge.quarantine.strike_listener import StrikeListener
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import NoEjection
 
 REQUEST = UpstreamRequest('r', 'POST', '/', [], b'', 'f')
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -5,8 +5,8 @@
 
 from cactusridge.clock import ManualClock
 from cactusridge.errors import StoreUnavailable
-from cactusridge.jobs.session import MEMBER_LEASE_S, Membership
-from cactusridge.jobs.tenure import MembershipStart
+from cactusridge.jobs.membership import MEMBER_LEASE_S, Membership
+from cactusridge.jobs.membership_start import MembershipStart
 from cactusridge.store.store_clock import StoreClock
 from standins.memory_table import MemoryTable
 
--- a/tests/test_spoilt_jobs.py
+++ b/tests/test_spoilt_jobs.py
@@ -6,11 +6,11 @@
 from cactusridge.errors import OutcomeUnknown
 from cactusridge.jobs.heads import JobHeads
 from cactusridge.jobs.held_job import restored_job
+from cactusridge.jobs.job_changes import JobChanges
 from cactusridge.jobs.keys import head_key, payload_prefix, progress_key
 from cactusridge.jobs.model import (
     head_value,
 )
-from cactusridge.jobs.step import JobChanges
 from cactusridge.store.table import Priority, Row
 from standins.faults import FaultKind
 from tests.emitted import emitted
--- a/tests/test_spoilt_members.py
+++ b/tests/test_spoilt_members.py
@@ -12,10 +12,14 @@
 from cactusridge.jobs.keys import head_key, payload_prefix, progress_key
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.manager import JobManager
+from cactusridge.jobs.membership import (
+    MEMBER_LEASE_S,
+    MEMBER_PREFIX,
+    Membership,
+)
+from cactusridge.jobs.membership_start import MembershipStart
 from cactusridge.jobs.model import JobHead, JobItem
 from cactusridge.jobs.orphans import UNREADABLE_PAUSE_S, Orphans
-from cactusridge.jobs.session import MEMBER_LEASE_S, MEMBER_PREFIX, Membership
-from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.store.store_clock import StoreClock
 from cactusridge.store.table import Priority
 from tests.emitted import emitted
--- a/tests/test_spoilt_results.py
+++ b/tests/test_spoilt_results.py
@@ -2,11 +2,11 @@
 
 from nose2.tools import params
 
+from cactusridge.jobs.job_changes import JobChanges
 from cactusridge.jobs.keys import payload_prefix
 from cactusridge.jobs.model import (
     Checkpoint,
 )
-from cactusridge.jobs.step import JobChanges
 from cactusridge.store.table import Priority
 from tests.spoilt_job_case import JOB, LONG, PARTIAL, RESULT, SpoiltJobCase, end
 from tests.spoilt_table import spoilings
--- a/tests/test_spoilt_settings.py
+++ b/tests/test_spoilt_settings.py
@@ -10,8 +10,8 @@
 from cactusridge.http.exchange import json_reply
 from cactusridge.http.server import Server
 from cactusridge.organisations.key_lease import KeyLease
+from cactusridge.platform.catalog_holder import KEY, CatalogHolder
 from cactusridge.platform.catalog_peers import CATALOG_PATH, CatalogPeers
-from cactusridge.platform.operator import KEY, CatalogHolder
 from cactusridge.store.table import Row
 from standins.waiting import wait_for
 from tests.emitted import emitted
--- a/tests/test_stop_races.py
+++ b/tests/test_stop_races.py
@@ -17,14 +17,14 @@
 from cactusridge.batch.driver import BatchDriver
 from cactusridge.batch.span import Span, span_key
 from cactusridge.clock import ManualClock
+from cactusridge.jobs.conditional_writer import HoldLost
 from cactusridge.jobs.heads import JobHeads
-from cactusridge.jobs.hold_writer import HoldLost
 from cactusridge.jobs.ledger import JobLedger
 from cactusridge.jobs.manager import JobManager
+from cactusridge.jobs.membership import MEMBER_PREFIX, Membership
+from cactusridge.jobs.membership_start import MembershipStart
 from cactusridge.jobs.model import JobHead, JobItem
 from cactusridge.jobs.orphans import Orphans
-from cactusridge.jobs.session import MEMBER_PREFIX, Membership
-from cactusridge.jobs.tenure import MembershipStart
 from cactusridge.platform.job_parts import JobParts
 from cactusridge.startup.models import (
     BatchSettings,
--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -7,11 +7,11 @@
 
 from cactusridge.background import run_forever
 from cactusridge.clock import ManualClock
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
 from cactusridge.quarantine.strike import Stage, Strike
 from cactusridge.quarantine.strike_book import STRIKE_LIFETIME_S
 from cactusridge.quarantine.strike_store import StrikeStore
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.store.listeners import ListenersByPrefix
 from cactusridge.store.table import Priority, Row, Write
 from cactusridge.store.table_follower import TableListener
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -5,7 +5,7 @@
 
 from nose2.tools import params
 
-from cactusridge.jobs.pace import RunTimeEstimator
+from cactusridge.jobs.run_times import RunTimeEstimator
 from cactusridge.jobs.urgency import (
     DueFirst,
     ItemTimes,
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -16,8 +16,8 @@
 from cactusridge.http.client import Address
 from cactusridge.peers.load import WorkKind
 from cactusridge.peers.loads import LoadTable
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import CrashEvidence
 from cactusridge.routing.outliers import OutlierEjector
 
 FAILURES = 2
--- a/tests/test_waiting_line.py
+++ b/tests/test_waiting_line.py
@@ -13,12 +13,12 @@
     RouteKind,
     ServiceShare,
 )
+from cactusridge.jobs.item_queue import ItemQueue
 from cactusridge.jobs.item_run import ItemTask
 from cactusridge.jobs.model import ItemState, JobHead, JobItem
 from cactusridge.jobs.urgency import OnTimeFirst
-from cactusridge.jobs.waiting_line import ItemQueue
+from cactusridge.quarantine.crash_evidence import CrashEvidence
 from cactusridge.quarantine.rules import ByCrashes
-from cactusridge.quarantine.suspects import CrashEvidence
 
 ACCEPTED_UNDER = 5
 NOW_MS = 1000
