--- a/tests/test_strike_store.py
+++ b/tests/test_strike_store.py
@@ -25,7 +25,7 @@
 
 
 class Entry:
-    """CrashEvidence of an entry over a table."""
+    """The crash evidence of an entry over a table."""
 
     def __init__(self, table: MemoryTable, clock: ManualClock) -> None:
         """Write as soon as there is something."""
