--- a/soak/job_callers.py
+++ b/soak/job_callers.py
@@ -90,7 +90,7 @@
                     'job known', f'{job.id}: {status} at {entry}'
                 )
         if status == 200:
-            self._store_page(job, first, json.has_loaded(raw))
+            self._store_page(job, first, json.loads(raw))
         return status
 
     def end(self, job: Job) -> None:
