--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -21,7 +21,7 @@
 
     def tearDown(self) -> None:
         """Restart killed entries."""
-        for number, name in enumerate(self.fleet.named('entry')):
+        for number, name in enumerate(self.fleet.names_of_kind('entry')):
             if self.fleet.processes[name].process.poll() is not None:
                 self.fleet.start_entry(number)
         self.fleet.wait_ready()
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -111,7 +111,7 @@
 
     def packed(self):
         """Return the replica's list entry in the encoding of the store."""
-        return self.world.store.packed(self.place)
+        return self.world.store.encoded(self.place)
 
 
 class TestWithheld(unittest.TestCase):
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -87,13 +87,13 @@
 
     def retain(self, keys):
         """Remove the other rows, or raise."""
-        if self.failing == 'keep_only':
+        if self.failing == 'retain':
             raise self.failure
         super().retain(keys)
 
     def store_recovered(self, since):
         """Do nothing, or raise."""
-        if self.failing == 'regained':
+        if self.failing == 'store_recovered':
             raise self.failure
 
 
